--- a/src/relay/table_watcher.cpp
+++ b/src/relay/table_watcher.cpp
@@ -119,8 +119,8 @@
     // What was removed before the first reading is not known here.
     copy.isWhole = after == 0 || after < d->historyStart;
     for (const auto &[key, row] : d->rows) {
-        const auto gone = d->removedBy.find(key);
-        const std::uint64_t changedAt = gone == d->removedBy.end() ? row.version : std::max(row.version, gone->second);
+        const auto removal = d->removedBy.find(key);
+        const std::uint64_t changedAt = removal == d->removedBy.end() ? row.version : std::max(row.version, removal->second);
         const bool isChanged = copy.isWhole || changedAt > after;
         if (isChanged && !row.isDeleted) {
             copy.rows.push_back({key, row.version, row.value});
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -207,7 +207,7 @@
         self.random = random.Random(seed)
         self.broken = []
         self.refused = set()  # ids that were promised not to have run
-        self.repeatable = set()  # ids of reads, which may run more than once
+        self.idempotent = set()  # ids of reads, which may run more than once
         self.counts = {"streams": 0, "whole streams": 0, "calls": 0, "good calls": 0, "faults": 0}
         self.version = 0
         self.next_id = 0
@@ -215,13 +215,13 @@
         self.peer_port = 20000 + self.random.randrange(10000)
         self.relays, self.hosts, self.proxies = [], [], {}
 
-    def note(self, text):
+    def log_line(self, text):
         with open(self.folder / "soak.log", "a", encoding="utf-8") as log:
             log.write(f"{time.monotonic() - self.started:8.3f} {text}\n")
 
-    def fail(self, promise, text):
-        self.broken.append(f"{promise}: {text}")
-        self.note(f"BROKEN {promise}: {text}")
+    def fail(self, check, text):
+        self.broken.append(f"{check}: {text}")
+        self.log_line(f"BROKEN {check}: {text}")
 
     # Start and stop
 
@@ -310,7 +310,7 @@
         self.next_id += 1
         attempt = f"s{self.seed}-{self.next_id}"
         if path == "/read/":
-            self.repeatable.add(attempt)
+            self.idempotent.add(attempt)
         return attempt, (f"{method} {path}{attempt} HTTP/1.1\r\nHost: host.example\r\nX-Attempt-Id: {attempt}\r\n"
                          f"X-Deadline-Ms: {int(ANSWER_TIMEOUT * 1000)}\r\n").encode()
 
@@ -375,17 +375,17 @@
 
     # Faults
 
-    async def harm_proxy(self):
+    async def disturb_proxy(self):
         proxy = self.random.choice(list(self.proxies.values()))
         mode = self.random.choice(Proxy.MODES)
-        self.note(f"proxy {proxy.name} {mode}")
+        self.log_line(f"proxy {proxy.name} {mode}")
         proxy.set_mode(mode)
         await asyncio.sleep(self.random.uniform(0.1, 2.5))
         proxy.set_mode("pass")
 
     async def pause(self):
         process = self.random.choice([*self.relays, *self.hosts, self.store])
-        self.note(f"pause {process.name}")
+        self.log_line(f"pause {process.name}")
         process.signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.1, 2.0))
         process.signal(signal.SIGCONT)
@@ -396,7 +396,7 @@
             return
         relay.is_changing = True
         kills = self.random.random() < 0.5
-        self.note(f"{'kill' if kills else 'stop'} {relay.name}")
+        self.log_line(f"{'kill' if kills else 'stop'} {relay.name}")
         begun = time.monotonic()
         relay.signal(signal.SIGCONT)
         relay.signal(signal.SIGKILL if kills else signal.SIGTERM, ends=True)
@@ -418,7 +418,7 @@
             return
         host.is_changing = True
         kills = self.random.random() < 0.6
-        self.note(f"{'kill' if kills else 'drain'} {host.name}")
+        self.log_line(f"{'kill' if kills else 'drain'} {host.name}")
         host.signal(signal.SIGCONT)
         host.signal(signal.SIGKILL if kills else signal.SIGTERM, ends=True)
         while host.process.returncode is None:
@@ -434,21 +434,21 @@
         host.is_changing = False
 
     async def change_configuration(self):
-        self.note("configuration")
+        self.log_line("configuration")
         await self.configure()
 
-    async def hang_up(self):
+    async def send_sighup(self):
         relay = self.random.choice(self.relays)
-        self.note(f"SIGHUP {relay.name}")
+        self.log_line(f"SIGHUP {relay.name}")
         relay.signal(signal.SIGHUP)
 
     async def run_fault(self):
         self.counts["faults"] += 1
-        faults = [self.harm_proxy] * 5 + [self.pause] * 2 + [self.restart_relay] * 2 + [self.restart_host] * 2 + [self.change_configuration, self.hang_up]
+        faults = [self.disturb_proxy] * 5 + [self.pause] * 2 + [self.restart_relay] * 2 + [self.restart_host] * 2 + [self.change_configuration, self.send_sighup]
         try:
             await self.random.choice(faults)()
         except (OSError, EOFError) as error:
-            self.note(f"a fault met another: {error!r}")
+            self.log_line(f"a fault met another: {error!r}")
 
     async def run_faults(self):
         running = set()
@@ -469,7 +469,7 @@
         for attempt, targets in runs.items():
             if attempt in self.refused:
                 self.fail("refusals", f"{attempt} was refused as not run and ran at {targets}")
-            if len(targets) > 1 and attempt not in self.repeatable:
+            if len(targets) > 1 and attempt not in self.idempotent:
                 self.fail("once", f"{attempt} ran at {targets}")
 
     def check_ends(self):
@@ -484,7 +484,7 @@
             process.is_changing = False
         callers = [asyncio.ensure_future(self.caller(relay, path)) for relay in self.relays for path in ("/chat/", "/chat/", "/read/", "/book/")]
         await self.run_faults()
-        self.note("faults are over")
+        self.log_line("faults are over")
         self.check_ends()
         await self.wait_serving("after the last fault")
         self.is_over = True
