--- a/src/relay/placement_controller.cpp
+++ b/src/relay/placement_controller.cpp
@@ -37,7 +37,7 @@
 struct PendingOrder {
     LayerRange layers;    ///< layers that the engine is to hold
     TimePoint sentAt{};   ///< when it was sent
-    TimePoint polledAt{}; ///< when the engine was last probed
+    TimePoint probedAt{}; ///< when the engine was last probed
 };
 
 struct PlacementController::Private {
@@ -53,7 +53,7 @@
     std::map<ServiceName, std::size_t> engineCounts{}; ///< number of engines at the last check
     std::map<ServiceName, TimePoint> lastGrownAt{};    ///< when the number of engines last grew
     TimePoint heldSince{};                             ///< when this entry became the leader; zero: it is not
-    TimePoint busyPolledAt{};                          ///< when engines that carry out orders of other entries were last probed
+    TimePoint busyProbedAt{};                          ///< when engines that carry out orders of other entries were last probed
 
     void plan();
     void planService(const ServiceSpec &service, TimePoint now);
@@ -125,13 +125,13 @@
         return !target || target->listed.layers == entry.second.layers || now - entry.second.sentAt > orderLifetime;
     });
     for (auto &[id, order] : pending) {
-        if (now - order.polledAt >= orderProbeInterval) {
-            order.polledAt = now;
+        if (now - order.probedAt >= orderProbeInterval) {
+            order.probedAt = now;
             prober.probe(id);
         }
     }
-    if (now - busyPolledAt >= orderProbeInterval) {
-        busyPolledAt = now;
+    if (now - busyProbedAt >= orderProbeInterval) {
+        busyProbedAt = now;
         probeBusyEngines();
     }
 }
