--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -31,8 +31,8 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_stops)
 {
-    // An entry receives SIGTERM in the middle of an answer: it is not ready at once, refuses new requests as not run, completes
-    // the open answer, and only then ends.
+    // An entry receives SIGTERM in the middle of an answer: it immediately reports not ready, refuses new requests as not run,
+    // completes the open answer, and only then ends.
     Cluster cluster(slowEngines());
     const AnswerPtr answer = cluster.ask("drums", 40);
     cluster.wait("the first tokens", [&] {
