--- /dev/null
+++ b/src/relay/table_watcher.cpp
@@ -0,0 +1,339 @@
+#include "relay/table_watcher.h"
+
+#include "base/log.h"
+
+#include <algorithm>
+#include <set>
+
+namespace Parsleytrail
+{
+
+constexpr milliseconds readTimeout{1000};   ///< a read takes milliseconds; a store that is sixty times slower still meets this
+constexpr milliseconds watchMargin{700};    ///< time after the wait of a watch until the watch counts as lost
+constexpr milliseconds minRetryPause{100};  ///< doubles with each consecutive failure
+constexpr milliseconds maxRetryPause{1000}; ///< bounds the delay until the store's recovery is noticed
+/// A change is usually followed by others: the watch continues after this pause, so that they arrive in one response. It is a
+/// fraction of the time within which a configuration must be in force.
+constexpr milliseconds watchPause{200};
+/// After a report of a peer that watches the table, a watcher does not watch for this long plus a random time of up to
+/// maxFollowJitter: entries do not all query the store at once when the peer is lost.
+constexpr milliseconds followTime{700};
+constexpr milliseconds maxFollowJitter{400};
+constexpr milliseconds followCheckInterval{100}; ///< how often a watcher that waits for a peer checks whether it must watch itself
+/// Consecutive failures after which the store counts as lost: a single one may be a connection that was closed normally.
+constexpr int failuresUntilLost = 2;
+
+struct TableWatcher::Private {
+    RelayContext &context;
+    HttpClient &client;
+    Address store;
+    std::string table;
+    Handlers handlers;
+
+    std::unique_ptr<Timer> next{};
+    HttpCallPtr call{};
+    std::map<std::string, Row> rows{};                ///< known rows by key; includes removed ones, without value
+    std::map<std::string, std::uint64_t> removedBy{}; ///< for removed rows whose removal was not received: a revision at which they were missing
+    std::set<std::string> keysRead{};                 ///< keys received by the current read
+    std::string readFrom{};                           ///< key at which the current read continues
+    std::uint64_t revision = 0;                       ///< revision of the last response
+    std::uint64_t firstRevision = 0;                  ///< revision of the first page of the current read
+    std::uint64_t lastChange = 0;                     ///< highest version of any row, including removed ones
+    std::uint64_t historyStart = 0;                   ///< revision of the first read: removals before it are unknown
+    TimePoint confirmedAt{};
+    TimePoint followingPeerUntil{}; ///< until when a peer is relied on to watch the table
+    int failures = 0;
+    bool isWatching = false;
+    bool isRead = false;
+    bool isWaitingForPeer = false; ///< it waits for a peer's changes instead of the store's
+
+    void queryStore();
+    void queryUnlessFollowing();
+    bool isFollowingPeer() const;
+    void handleResponse(const HttpResult &result);
+    void applyPage(const RowPage &page);
+    void applyRow(const Row &row);
+    void removeMissing(const std::set<std::string> &present, std::uint64_t revision);
+    void finishRead();
+    void handleFailure(const std::string &reason);
+    void recordResponse();
+};
+
+bool canApplyCopy(const TableCopy &copy, std::uint64_t lastChange)
+{
+    const bool hasMissingChanges = !copy.isWhole && copy.after > lastChange;
+    return copy.change > lastChange && !hasMissingChanges;
+}
+
+TableWatcher::TableWatcher(RelayContext &context, HttpClient &client, const Address &store, std::string table, Handlers handlers)
+    : d(std::make_unique<Private>(Private{context, client, store, std::move(table), std::move(handlers)}))
+{
+    d->next = std::make_unique<Timer>(context.loop, [this] {
+        d->queryUnlessFollowing();
+    });
+}
+
+TableWatcher::~TableWatcher()
+{
+    if (d->call) {
+        d->call->cancel();
+    }
+}
+
+void TableWatcher::start()
+{
+    d->queryStore();
+}
+
+bool TableWatcher::isRead() const
+{
+    return d->isRead;
+}
+
+TimePoint TableWatcher::confirmedAt() const
+{
+    return d->confirmedAt;
+}
+
+bool TableWatcher::isStoreLost() const
+{
+    return d->failures >= failuresUntilLost;
+}
+
+std::uint64_t TableWatcher::lastChange() const
+{
+    return d->lastChange;
+}
+
+bool TableWatcher::isWatching() const
+{
+    return d->isWatching && d->call && !d->isFollowingPeer();
+}
+
+TableCopy TableWatcher::copyRows(std::uint64_t after) const
+{
+    TableCopy copy;
+    copy.table = d->table;
+    copy.after = after;
+    copy.change = d->lastChange;
+    // Rows removed before the first read are unknown here, so an older requester gets all rows.
+    copy.isWhole = after == 0 || after < d->historyStart;
+    for (const auto &[key, row] : d->rows) {
+        const auto removal = d->removedBy.find(key);
+        const std::uint64_t changedAt = removal == d->removedBy.end() ? row.version : std::max(row.version, removal->second);
+        const bool isChanged = copy.isWhole || changedAt > after;
+        if (isChanged && !row.isDeleted) {
+            copy.rows.push_back({key, row.version, row.value});
+        } else if (isChanged && !copy.isWhole) {
+            copy.removed.push_back({key, row.version, {}});
+        }
+    }
+    return copy;
+}
+
+void TableWatcher::followPeer()
+{
+    if (d->isRead && d->failures == 0) {
+        std::uniform_int_distribution<std::int64_t> extra(0, maxFollowJitter.count());
+        d->followingPeerUntil = d->context.clock.now() + followTime + milliseconds(extra(d->context.random));
+    }
+}
+
+void TableWatcher::queryNow()
+{
+    if (d->isWaitingForPeer) {
+        d->next->stop();
+        d->queryStore();
+    }
+}
+
+void TableWatcher::stopFollowingPeer()
+{
+    d->followingPeerUntil = TimePoint();
+}
+
+void TableWatcher::applyCopy(const TableCopy &copy)
+{
+    if (!canApplyCopy(copy, d->lastChange)) {
+        return;
+    }
+    std::set<std::string> present;
+    for (const TableRow &row : copy.rows) {
+        present.insert(row.key);
+        d->applyRow({row.key, row.version, row.value, false});
+    }
+    for (const TableRow &row : copy.removed) {
+        d->applyRow({row.key, row.version, {}, true});
+    }
+    if (copy.isWhole) {
+        d->removeMissing(present, copy.change);
+    }
+    d->lastChange = copy.change;
+    d->revision = std::max(d->revision, copy.change);
+    if (!d->isRead) {
+        d->isRead = true;
+        d->handlers.onRead();
+    }
+}
+
+void TableWatcher::recordConfirmation(std::uint64_t change)
+{
+    if (d->isRead && change <= d->lastChange) {
+        d->confirmedAt = d->context.clock.now();
+    }
+}
+
+bool TableWatcher::Private::isFollowingPeer() const
+{
+    return context.clock.now() < followingPeerUntil;
+}
+
+void TableWatcher::Private::queryUnlessFollowing()
+{
+    isWaitingForPeer = isWatching && failures == 0 && isFollowingPeer();
+    if (isWaitingForPeer) {
+        next->start(followCheckInterval);
+    } else {
+        queryStore();
+    }
+}
+
+void TableWatcher::Private::queryStore()
+{
+    isWaitingForPeer = false;
+    ++context.metrics.storeCalls;
+    // A recovered store answers a watch only at the next change, but its recovery has to be noticed at once: for a limited time
+    // after it, removals are taken for rows that expired during the outage, and later ones must not be.
+    const milliseconds wait = failures > 0 ? milliseconds(0) : context.settings.storeWatch;
+    HttpClientRequest request = isWatching ? context.adapter.watchRowsRequest(table, revision, wait) : context.adapter.readRowsRequest({table, readFrom, {}});
+    request.timeout = isWatching && failures == 0 ? wait + watchMargin : readTimeout;
+    call = client.fetch(store, std::move(request), [this](const HttpResult &result) {
+        handleResponse(result);
+    });
+}
+
+void TableWatcher::Private::handleResponse(const HttpResult &result)
+{
+    constexpr int gone = 410;
+    if (!result.failure && result.status == gone && isWatching) {
+        logEvent(Event::WatchReset, {{"table", table}, {"revision", std::to_string(revision)}});
+        recordResponse();
+        isWatching = false;
+        return queryStore();
+    }
+    if (!result.isOk()) {
+        return handleFailure(result.failure ? result.failure->error.toString() : "status " + std::to_string(result.status));
+    }
+    RowPage page;
+    Error error;
+    const bool isDecoded = runCatching(
+        [&]() -> Result<void> {
+            BOOST_LEAF_ASSIGN(page, context.adapter.decodeRows(result.body));
+            return {};
+        },
+        error);
+    if (!isDecoded) {
+        return handleFailure(error.toString());
+    }
+    recordResponse();
+    applyPage(page);
+}
+
+void TableWatcher::Private::recordResponse()
+{
+    confirmedAt = context.clock.now();
+    if (failures >= failuresUntilLost) {
+        logEvent(Event::StoreBack, {{"table", table}});
+        handlers.onStoreReachable(true);
+    }
+    failures = 0;
+}
+
+void TableWatcher::Private::applyPage(const RowPage &page)
+{
+    for (const Row &row : page.rows) {
+        if (!isWatching) {
+            keysRead.insert(row.key);
+        }
+        applyRow(row);
+    }
+    if (isWatching) {
+        revision = std::max(revision, page.revision);
+        if (page.rows.empty()) {
+            queryUnlessFollowing();
+        } else {
+            next->start(watchPause);
+        }
+        return;
+    }
+    if (readFrom.empty()) {
+        firstRevision = page.revision;
+    }
+    if (page.hasMore && !page.rows.empty()) {
+        readFrom = page.rows.back().key + '\x01';
+        return queryStore();
+    }
+    finishRead();
+}
+
+void TableWatcher::Private::applyRow(const Row &row)
+{
+    Row &known = rows[row.key];
+    // A row that was missing in a peer's older copy was not removed: the store still has it, at the known version.
+    const bool isRestored = row.version == known.version && known.isDeleted && !row.isDeleted;
+    // The removal itself was not received, only that the row does not exist any more.
+    const bool isMissing = row.version == known.version && row.isDeleted && !known.isDeleted && known.version > 0;
+    if (row.version <= known.version && !isRestored && !isMissing) {
+        return;
+    }
+    known = row;
+    lastChange = std::max(lastChange, row.version);
+    if (row.isDeleted) {
+        handlers.onRemoved(row.key);
+    } else {
+        handlers.onRow(row);
+    }
+}
+
+/// Reports known rows as removed that a complete read, or a peer's complete copy, of this revision did not contain.
+void TableWatcher::Private::removeMissing(const std::set<std::string> &present, std::uint64_t revision)
+{
+    for (auto &[key, row] : rows) {
+        if (!row.isDeleted && !present.contains(key)) {
+            row.isDeleted = true;
+            row.value.clear();
+            removedBy[key] = revision;
+            handlers.onRemoved(key);
+        }
+    }
+}
+
+/// Ends a read after its last page: rows that it did not contain were removed, and changes since the first page are watched.
+void TableWatcher::Private::finishRead()
+{
+    removeMissing(keysRead, firstRevision);
+    lastChange = std::max(lastChange, isRead ? firstRevision : 0);
+    historyStart = historyStart == 0 ? firstRevision : historyStart;
+    keysRead.clear();
+    readFrom.clear();
+    revision = firstRevision;
+    isWatching = true;
+    isRead = true;
+    handlers.onRead();
+    queryStore();
+}
+
+void TableWatcher::Private::handleFailure(const std::string &reason)
+{
+    ++failures;
+    if (failures == failuresUntilLost) {
+        logEvent(Event::StoreUnreachable, {{"table", table}, {"reason", reason}});
+        handlers.onStoreReachable(false);
+    }
+    const int doublings = std::min(failures - 1, 4);
+    const milliseconds pause = std::min(minRetryPause * (1 << doublings), maxRetryPause);
+    std::uniform_real_distribution<double> jitter(0.7, 1.3);
+    next->start(std::chrono::duration_cast<microseconds>(pause * jitter(context.random)));
+}
+
+} // namespace Parsleytrail
