--- a/src/entry/admission_queue.cpp
+++ b/src/entry/admission_queue.cpp
@@ -22,7 +22,7 @@
 /// Streams of one model.
 struct Lane {
     AdmissionLimit limit;
-    ShareLedger shares;
+    FairShareLedger shares;
     std::size_t running = 0;
     std::vector<WaitingRequest> waiting; ///< parallel to callbacks
     std::vector<Callbacks> callbacks;
@@ -63,11 +63,11 @@
 {
     const TimePoint now = context.clock.now();
     while (lane.hasRoom()) {
-        const std::size_t next = chooseNext(lane.waiting, lane.shares, now);
+        const std::size_t next = selectNext(lane.waiting, lane.shares, now);
         if (next == lane.waiting.size()) {
             return;
         }
-        noteStarted(lane.shares, lane.waiting[next], now);
+        recordStart(lane.shares, lane.waiting[next], now);
         ++lane.running;
         const Callbacks callbacks = lane.take(next);
         callbacks.start();
@@ -126,7 +126,7 @@
 {
     if (targetSeconds > 0) {
         Lane &lane = d->lanes[model];
-        Parsleytrail::noteGap(lane.limit, seconds, targetSeconds, lane.running, d->context.clock.now());
+        Parsleytrail::recordLatency(lane.limit, seconds, targetSeconds, lane.running, d->context.clock.now());
     }
 }
 
@@ -136,7 +136,7 @@
     for (auto &[model, lane] : d->lanes) {
         d->startNext(lane);
         std::vector<Callbacks> late;
-        const std::vector<std::size_t> indices = lateRequests(lane.waiting, now);
+        const std::vector<std::size_t> indices = expiredRequests(lane.waiting, now);
         for (auto index = indices.rbegin(); index != indices.rend(); ++index) {
             late.push_back(lane.take(*index));
         }
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -431,7 +431,7 @@
     json result = status();
     result["role"] = "entry";
     result["incarnation"] = incarnation.value;
-    result["retryBudget"] = {{"saved", context->retries.saved}, {"burst", context->retries.burst}};
+    result["retryBudget"] = {{"saved", context->retries.available}, {"burst", context->retries.burst}};
     result["links"] = links->size();
     result["datagrams"] = {{"refused", datagrams->refused()},
                            {"unsent", datagrams->unsent()},
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -199,7 +199,7 @@
         }
     });
     calls[id] = std::move(call);
-    noteRequest(context.retries);
+    recordRequest(context.retries);
     send(id);
 }
 
@@ -254,7 +254,7 @@
         return exchange->abort();
     }
     const bool isSafe = outcome == Outcome::NotRun || call->mayRepeat;
-    if (isSafe && call->tried < maxTargetsTried && tryRetry(context.retries) && chooseTarget(*call)) {
+    if (isSafe && call->tried < maxTargetsTried && tryConsumeRetry(context.retries) && chooseTarget(*call)) {
         return send(request);
     }
     if (outcome == Outcome::NotRun) {
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -214,7 +214,7 @@
     const bool hasChain = !stream.chain.empty() || chooseStages(stream);
     const bool isFirst = stream.attempt == Attempt{};
     const bool isTooEarly = context.clock.now() < stream.notBefore;
-    if (!hasChain || isTooEarly || (!isFirst && !tryRetry(context.retries))) {
+    if (!hasChain || isTooEarly || (!isFirst && !tryConsumeRetry(context.retries))) {
         return wait(stream);
     }
     if (!isFirst) {
@@ -528,7 +528,7 @@
     stream.handlers = std::make_shared<const StreamHandlers>(std::move(handlers));
     stream.openedAt = d->context.clock.now();
     stream.progressAt = stream.openedAt;
-    noteRequest(d->context.retries);
+    recordRequest(d->context.retries);
     d->renew(stream, {});
 }
 
@@ -610,7 +610,7 @@
     RetryBudget &budget = d->context.retries;
     budget.burst = std::max(20.0, static_cast<double>(d->streams.size()));
     if (d->refilledAt != TimePoint{}) {
-        budget.saved = std::min(budget.burst, budget.saved + budget.burst * retryRefillPerSecond * secondsBetween(d->refilledAt, now));
+        budget.available = std::min(budget.burst, budget.available + budget.burst * retryRefillPerSecond * secondsBetween(d->refilledAt, now));
     }
     d->refilledAt = now;
     targetsChanged();
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,62 +6,62 @@
 namespace Parsleytrail
 {
 
-constexpr double usedShare = 0.8;           ///< the limit grows only while this much of it is in use
-constexpr std::uint32_t fewestSamples = 20; ///< in a window, to judge by
+constexpr double minUtilization = 0.8;   ///< the limit grows only while this much of it is in use
+constexpr std::uint32_t minSamples = 20; ///< in a window, to judge by
 
-void noteGap(AdmissionLimit &admission, double seconds, double targetSeconds, std::size_t running, TimePoint now)
+void recordLatency(AdmissionLimit &admission, double seconds, double targetSeconds, std::size_t running, TimePoint now)
 {
     ++admission.samples;
     admission.misses += seconds > targetSeconds ? 1 : 0;
-    if (admission.windowEnds == TimePoint{}) {
-        admission.windowEnds = now + admission.window;
+    if (admission.windowEndsAt == TimePoint{}) {
+        admission.windowEndsAt = now + admission.window;
     }
-    if (now < admission.windowEnds || admission.samples < fewestSamples) {
+    if (now < admission.windowEndsAt || admission.samples < minSamples) {
         return;
     }
-    const bool isOverloaded = admission.misses > admission.missShare * admission.samples;
-    const bool isUsed = static_cast<double>(running) >= usedShare * admission.limit;
+    const bool isOverloaded = admission.misses > admission.allowedMissRatio * admission.samples;
+    const bool isUtilized = static_cast<double>(running) >= minUtilization * admission.limit;
     if (isOverloaded) {
         // From what runs, not from a limit that was never reached.
         admission.limit = std::min(admission.limit, static_cast<double>(running)) * admission.decrease;
-    } else if (isUsed) {
+    } else if (isUtilized) {
         admission.limit += admission.increase + 0.02 * admission.limit;
     }
-    admission.limit = std::clamp(admission.limit, admission.least, admission.most);
+    admission.limit = std::clamp(admission.limit, admission.minLimit, admission.maxLimit);
     admission.samples = 0;
     admission.misses = 0;
-    admission.windowEnds = now + admission.window;
+    admission.windowEndsAt = now + admission.window;
 }
 
-static double decayed(double given, const ShareLedger &ledger, TimePoint now)
+static double decayed(double total, const FairShareLedger &ledger, TimePoint now)
 {
-    const double halfLives = std::chrono::duration<double>(now - ledger.decayedAt) / std::chrono::duration<double>(shareHalfLife);
-    return given * std::exp2(-halfLives);
+    const double halfLives = std::chrono::duration<double>(now - ledger.decayedAt) / std::chrono::duration<double>(startedCostHalfLife);
+    return total * std::exp2(-halfLives);
 }
 
-void noteStarted(ShareLedger &ledger, const WaitingRequest &request, TimePoint now)
+void recordStart(FairShareLedger &ledger, const WaitingRequest &request, TimePoint now)
 {
     if (ledger.decayedAt != TimePoint{}) {
-        for (auto &[workspace, given] : ledger.given) {
-            given = decayed(given, ledger, now);
+        for (auto &[workspace, total] : ledger.startedCost) {
+            total = decayed(total, ledger, now);
         }
-        std::erase_if(ledger.given, [](const auto &item) {
+        std::erase_if(ledger.startedCost, [](const auto &item) {
             return item.second < 1;
         });
     }
     ledger.decayedAt = now;
-    ledger.given[request.workspace] += request.cost;
+    ledger.startedCost[request.workspace] += request.cost;
 }
 
 /// Order within a workspace.
-static bool goesBefore(const WaitingRequest &a, const WaitingRequest &b)
+static bool hasPriority(const WaitingRequest &a, const WaitingRequest &b)
 {
     const double worthA = a.worth / std::max(a.cost, 1.0);
     const double worthB = b.worth / std::max(b.cost, 1.0);
     return worthA != worthB ? worthA > worthB : a.arrivedAt < b.arrivedAt;
 }
 
-std::size_t chooseNext(const std::vector<WaitingRequest> &waiting, const ShareLedger &ledger, TimePoint now)
+std::size_t selectNext(const std::vector<WaitingRequest> &waiting, const FairShareLedger &ledger, TimePoint now)
 {
     std::map<WorkspaceName, std::size_t> best; // of each workspace
     for (std::size_t i = 0; i < waiting.size(); ++i) {
@@ -69,25 +69,25 @@
             continue;
         }
         const auto [known, isNew] = best.emplace(waiting[i].workspace, i);
-        if (!isNew && goesBefore(waiting[i], waiting[known->second])) {
+        if (!isNew && hasPriority(waiting[i], waiting[known->second])) {
             known->second = i;
         }
     }
     std::size_t chosen = waiting.size();
-    double least = 0;
+    double lowestCost = 0;
     for (const auto &[workspace, index] : best) {
-        const auto it = ledger.given.find(workspace);
+        const auto it = ledger.startedCost.find(workspace);
         // A workspace whose answers are worth more may be given more.
-        const double given = (it == ledger.given.end() ? 0 : it->second) / std::max(waiting[index].worth, 1e-6);
-        if (chosen == waiting.size() || given < least) {
+        const double weightedCost = (it == ledger.startedCost.end() ? 0 : it->second) / std::max(waiting[index].worth, 1e-6);
+        if (chosen == waiting.size() || weightedCost < lowestCost) {
             chosen = index;
-            least = given;
+            lowestCost = weightedCost;
         }
     }
     return chosen;
 }
 
-std::vector<std::size_t> lateRequests(const std::vector<WaitingRequest> &waiting, TimePoint now)
+std::vector<std::size_t> expiredRequests(const std::vector<WaitingRequest> &waiting, TimePoint now)
 {
     std::vector<std::size_t> late;
     for (std::size_t i = 0; i < waiting.size(); ++i) {
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -19,19 +19,19 @@
 
 /// Limit on the streams that run at once, by additive increase and multiplicative decrease.
 struct AdmissionLimit {
-    double limit = 64;         ///< streams
-    double least = 4;          ///< never below
-    double most = 100000;      ///< never above
-    double increase = 1;       ///< streams added for each window without a miss while the limit is used
-    double decrease = 0.85;    ///< factor for each window with too many misses
-    double missShare = 0.05;   ///< misses allowed: 95 in 100 must keep to the target
-    std::uint32_t samples = 0; ///< gaps seen in this window
-    std::uint32_t misses = 0;  ///< of them over the target
-    TimePoint windowEnds{};    ///< end of this window
-    milliseconds window{250};  ///< length of a window
+    double limit = 64;              ///< streams
+    double minLimit = 4;            ///< never below
+    double maxLimit = 100000;       ///< never above
+    double increase = 1;            ///< streams added for each window without a miss while the limit is used
+    double decrease = 0.85;         ///< factor for each window with too many misses
+    double allowedMissRatio = 0.05; ///< misses allowed: 95 in 100 must keep to the target
+    std::uint32_t samples = 0;      ///< gaps seen in this window
+    std::uint32_t misses = 0;       ///< of them over the target
+    TimePoint windowEndsAt{};       ///< end of this window
+    milliseconds window{250};       ///< length of a window
 };
 /// Notes one gap between tokens, or one first token, against its target. `running` is the number of streams now.
-void noteGap(AdmissionLimit &admission, double seconds, double targetSeconds, std::size_t running, TimePoint now);
+void recordLatency(AdmissionLimit &admission, double seconds, double targetSeconds, std::size_t running, TimePoint now);
 
 /// A request that waits.
 struct WaitingRequest {
@@ -44,20 +44,20 @@
 };
 
 /// What each workspace was given of late, decaying; the one that was given least goes first.
-struct ShareLedger {
-    std::map<WorkspaceName, double> given; ///< cost started, decayed
-    TimePoint decayedAt{};                 ///< last decay
+struct FairShareLedger {
+    std::map<WorkspaceName, double> startedCost; ///< cost started, decayed
+    TimePoint decayedAt{};                       ///< last decay
 };
-void noteStarted(ShareLedger &ledger, const WaitingRequest &request, TimePoint now);
+void recordStart(FairShareLedger &ledger, const WaitingRequest &request, TimePoint now);
 
-constexpr std::chrono::seconds shareHalfLife{5}; ///< after this time half of what a workspace was given is forgotten
+constexpr std::chrono::seconds startedCostHalfLife{5}; ///< after this time half of what a workspace was given is forgotten
 
 /// Index of the request to start next; waiting.size() if none.
 ///
 /// Among the workspaces with waiting requests the one that was given least for its weight goes first, so that a large one
 /// can't shut out the small ones; within it the highest worth for its cost, then the oldest.
-std::size_t chooseNext(const std::vector<WaitingRequest> &waiting, const ShareLedger &ledger, TimePoint now);
+std::size_t selectNext(const std::vector<WaitingRequest> &waiting, const FairShareLedger &ledger, TimePoint now);
 /// Indices, ascending, of requests that can't start in time any more.
-std::vector<std::size_t> lateRequests(const std::vector<WaitingRequest> &waiting, TimePoint now);
+std::vector<std::size_t> expiredRequests(const std::vector<WaitingRequest> &waiting, TimePoint now);
 
 } // namespace Parsleytrail
--- a/src/policy/budget.cpp
+++ b/src/policy/budget.cpp
@@ -5,38 +5,38 @@
 namespace Parsleytrail
 {
 
-void refill(RateBudget &budget, TimePoint now)
+void refill(TokenBucket &bucket, TimePoint now)
 {
-    if (budget.filledAt == TimePoint{}) {
-        budget.tokens = budget.burst;
-        budget.filledAt = now;
+    if (bucket.lastRefillAt == TimePoint{}) {
+        bucket.tokens = bucket.burst;
+        bucket.lastRefillAt = now;
     }
-    const std::chrono::duration<double> passed = now - budget.filledAt;
-    budget.tokens = std::min(budget.burst, budget.tokens + passed.count() * budget.perSecond);
-    budget.filledAt = now;
+    const std::chrono::duration<double> passed = now - bucket.lastRefillAt;
+    bucket.tokens = std::min(bucket.burst, bucket.tokens + passed.count() * bucket.perSecond);
+    bucket.lastRefillAt = now;
 }
 
-bool tryTake(RateBudget &budget, TimePoint now)
+bool tryConsume(TokenBucket &bucket, TimePoint now)
 {
-    refill(budget, now);
-    if (budget.tokens < 1) {
+    refill(bucket, now);
+    if (bucket.tokens < 1) {
         return false;
     }
-    budget.tokens -= 1;
+    bucket.tokens -= 1;
     return true;
 }
 
-void noteRequest(RetryBudget &budget)
+void recordRequest(RetryBudget &budget)
 {
-    budget.saved = std::min(budget.burst, budget.saved + budget.share);
+    budget.available = std::min(budget.burst, budget.available + budget.share);
 }
 
-bool tryRetry(RetryBudget &budget)
+bool tryConsumeRetry(RetryBudget &budget)
 {
-    if (budget.saved < 1) {
+    if (budget.available < 1) {
         return false;
     }
-    budget.saved -= 1;
+    budget.available -= 1;
     return true;
 }
 
--- a/src/policy/crossing.cpp
+++ b/src/policy/crossing.cpp
@@ -5,22 +5,22 @@
 namespace Parsleytrail
 {
 
-RateBudget makeCrossingBudget(const EngineModel &model, int entries)
+TokenBucket makeCrossingBudget(const EngineModel &model, int entries)
 {
     constexpr double bytesPerMbit = 1e6 / 8;
-    RateBudget budget;
+    TokenBucket budget;
     budget.perSecond = model.pipeMbps * bytesPerMbit * pipeUse / std::max(entries, 1);
     budget.burst = budget.perSecond * longestSaving.count();
     return budget;
 }
 
-bool mayCross(RateBudget &budget, TimePoint now)
+bool mayCross(TokenBucket &budget, TimePoint now)
 {
     refill(budget, now);
     return budget.tokens > 0 || budget.perSecond <= 0;
 }
 
-void noteCrossing(RateBudget &budget, double bytes)
+void noteCrossing(TokenBucket &budget, double bytes)
 {
     budget.tokens -= bytes;
 }
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -34,15 +34,15 @@
     return entry.entry == exchange.self.entry;
 }
 
-static bool isNear(const LoadExchange &exchange, const EntryRef &entry)
+static bool isSameDataCenter(const LoadExchange &exchange, const EntryRef &entry)
 {
     return entry.dataCenter == exchange.self.dataCenter;
 }
 
-static bool isSilent(const LoadExchange &exchange, const std::string &host, TimePoint now)
+static bool isUnresponsive(const LoadExchange &exchange, const std::string &host, TimePoint now)
 {
-    const auto it = exchange.silent.find(host);
-    return it != exchange.silent.end() && now < it->second;
+    const auto it = exchange.unresponsiveUntil.find(host);
+    return it != exchange.unresponsiveUntil.end() && now < it->second;
 }
 
 bool isAggregator(const LoadExchange &exchange)
@@ -50,15 +50,15 @@
     return exchange.aggregator.entry.isEmpty();
 }
 
-static bool hasDigest(const LoadExchange &exchange, TimePoint now)
+static bool hasRecentDigest(const LoadExchange &exchange, TimePoint now)
 {
-    return exchange.digest.at != TimePoint() && now - exchange.digest.at < exchangeSilence;
+    return exchange.digest.receivedAt != TimePoint() && now - exchange.digest.receivedAt < exchangeTimeout;
 }
 
 /// Whether the members and groups of a new aggregator have not all spoken yet: what it knew as a member counts on.
 static bool isTakingOver(const LoadExchange &exchange, TimePoint now)
 {
-    return isAggregator(exchange) && hasDigest(exchange, now) && now - exchange.aggregatesSince < takeoverTime;
+    return isAggregator(exchange) && hasRecentDigest(exchange, now) && now - exchange.aggregatorSince < takeoverTime;
 }
 
 /// Whether it looks for a group after its start.
@@ -78,8 +78,8 @@
     const EntryRef *best = nullptr;
     for (const auto &[id, group] : exchange.groups) {
         const EntryRef &ref = group.last.sender;
-        const bool hasRoom = groupSize(group.last) <= maxGroupMembers;
-        const bool isCandidate = ref.dataCenter == dataCenter && ref.capacity > 0 && hasRoom && !isSilent(exchange, ref.host, now);
+        const bool hasFreeSlot = groupSize(group.last) <= maxGroupMembers;
+        const bool isCandidate = ref.dataCenter == dataCenter && ref.capacity > 0 && hasFreeSlot && !isUnresponsive(exchange, ref.host, now);
         if (isCandidate && (!best || isBetter(ref, *best))) {
             best = &ref;
         }
@@ -88,7 +88,7 @@
 }
 
 /// The member that takes over when this entry stops or falls silent.
-static EntryRef deputyOf(const LoadExchange &exchange)
+static EntryRef standbyAggregator(const LoadExchange &exchange)
 {
     EntryRef best;
     for (const auto &[id, member] : exchange.members) {
@@ -105,7 +105,7 @@
 static EntriesView groupView(const LoadExchange &exchange)
 {
     EntriesView view;
-    addEntry(view, exchange.own);
+    addEntry(view, exchange.ownReport);
     for (const auto &[id, member] : exchange.members) {
         addEntry(view, member.last);
     }
@@ -117,7 +117,7 @@
 {
     EntriesView view;
     if (leftOut != exchange.self.entry) {
-        addEntry(view, exchange.own);
+        addEntry(view, exchange.ownReport);
     }
     for (const auto &[id, member] : exchange.members) {
         if (id != leftOut) {
@@ -147,46 +147,46 @@
 
 /// Names aggregators that this one hears itself, others each time. What others told is not passed on: entries that are gone
 /// would be spoken of for ever.
-static std::vector<EntryRef> aggregatorsInTurn(LoadExchange &exchange, std::size_t limit)
+static std::vector<EntryRef> nextAggregators(LoadExchange &exchange, std::size_t limit)
 {
     std::vector<EntryRef> refs;
-    auto next = exchange.groups.upper_bound(exchange.toldAggregator);
+    auto next = exchange.groups.upper_bound(exchange.lastNamedAggregator);
     for (std::size_t i = 0; i < std::min(exchange.groups.size(), limit); ++i) {
         next = next == exchange.groups.end() ? exchange.groups.begin() : next;
         refs.push_back(next->second.last.sender);
-        exchange.toldAggregator = next->first;
+        exchange.lastNamedAggregator = next->first;
         ++next;
     }
     return refs;
 }
 
 /// Whether a digest tells of a target.
-static bool isTold(const LoadExchange &exchange, const GroupDigest &digest, std::uint32_t target)
+static bool includesTarget(const LoadExchange &exchange, const GroupDigest &digest, std::uint32_t target)
 {
-    const bool isNearTarget = std::binary_search(exchange.nearTargets.begin(), exchange.nearTargets.end(), target);
-    return isNearTarget || (digest.turns > 0 && target % digest.turns == digest.turn);
+    const bool isLocalTarget = std::binary_search(exchange.localTargets.begin(), exchange.localTargets.end(), target);
+    return isLocalTarget || (digest.turns > 0 && target % digest.turns == digest.turn);
 }
 
-static LoadTable toldOf(const LoadExchange &exchange, const LoadTable &loads, const GroupDigest &digest)
+static LoadTable includedLoads(const LoadExchange &exchange, const LoadTable &loads, const GroupDigest &digest)
 {
-    LoadTable told;
+    LoadTable included;
     for (const auto &[target, sum] : loads) {
-        if (isTold(exchange, digest, target)) {
-            told[target] = sum;
+        if (includesTarget(exchange, digest, target)) {
+            included[target] = sum;
         }
     }
-    return told;
+    return included;
 }
 
 /// Takes the loads of a digest for those that it tells of.
-static void takeLoads(LoadExchange &exchange, const GroupDigest &digest)
+static void applyLoads(LoadExchange &exchange, const GroupDigest &digest)
 {
-    const bool isFull = digest.loads.size() >= maxToldLoads;
-    std::erase_if(exchange.heard, [&](const auto &load) {
-        return !isFull && isTold(exchange, digest, load.first);
+    const bool isFull = digest.loads.size() >= maxReportedLoads;
+    std::erase_if(exchange.digestLoads, [&](const auto &load) {
+        return !isFull && includesTarget(exchange, digest, load.first);
     });
     for (const EngineLoad &load : digest.loads) {
-        exchange.heard[load.target] = {load.openRequests, load.avoiding, static_cast<double>(load.kvTokenLayers)};
+        exchange.digestLoads[load.target] = {load.openRequests, load.avoiding, static_cast<double>(load.kvTokenLayers)};
     }
 }
 
@@ -194,21 +194,21 @@
 static GroupDigest digestFor(LoadExchange &exchange, const EntryReport &report, TimePoint now)
 {
     GroupDigest digest = makeDigest(exchange, exchange.self);
-    digest.deputy = deputyOf(exchange);
-    digest.isWatching = exchange.isWatching && !exchange.own.isStoreLost;
-    digest.aggregators = aggregatorsInTurn(exchange, maxToldToMembers);
-    digest.turns = farTurns;
-    digest.turn = static_cast<std::uint32_t>(report.sequence % farTurns);
+    digest.deputy = standbyAggregator(exchange);
+    digest.isWatching = exchange.isWatching && !exchange.ownReport.isStoreLost;
+    digest.aggregators = nextAggregators(exchange, maxDigestAggregators);
+    digest.turns = remoteSlices;
+    digest.turn = static_cast<std::uint32_t>(report.sequence % remoteSlices);
     if (isTakingOver(exchange, now)) {
         digest.others = exchange.digest.last.others;
-        digest.loads = listLoads(toldOf(exchange, exchange.heard, digest), maxToldLoads);
+        digest.loads = listLoads(includedLoads(exchange, exchange.digestLoads, digest), maxReportedLoads);
         return digest;
     }
     digest.others = viewWithout(exchange, report.sender.entry);
     LoadTable others = exchange.loads;
     removeLoads(others, report.loads);
-    addLoads(others, exchange.own.loads);
-    digest.loads = listLoads(toldOf(exchange, others, digest), maxToldLoads);
+    addLoads(others, exchange.ownReport.loads);
+    digest.loads = listLoads(includedLoads(exchange, others, digest), maxReportedLoads);
     return digest;
 }
 
@@ -219,19 +219,19 @@
     summary.incarnation = exchange.incarnation;
     summary.sequence = ++exchange.sequence;
     summary.group = groupView(exchange);
-    summary.aggregators = aggregatorsInTurn(exchange, maxToldAggregators);
+    summary.aggregators = nextAggregators(exchange, maxSummaryAggregators);
     LoadTable loads;
-    addLoads(loads, exchange.own.loads);
+    addLoads(loads, exchange.ownReport.loads);
     for (const auto &[id, member] : exchange.members) {
         addLoads(loads, member.last.loads);
     }
-    summary.loads = listLoads(loads, maxToldLoads);
+    summary.loads = listLoads(loads, maxReportedLoads);
     return summary;
 }
 
 static EntryReport makeReport(LoadExchange &exchange)
 {
-    EntryReport report = exchange.own;
+    EntryReport report = exchange.ownReport;
     report.sequence = ++exchange.sequence;
     return report;
 }
@@ -246,36 +246,36 @@
     return exchange;
 }
 
-OthersView othersOf(const LoadExchange &exchange, TimePoint now)
+PeersView peersView(const LoadExchange &exchange, TimePoint now)
 {
-    OthersView view;
+    PeersView view;
     view.aggregator = exchange.aggregator.host;
     if (isAggregator(exchange) && !isTakingOver(exchange, now)) {
         view.entries = viewWithout(exchange, exchange.self.entry);
         view.loads = listLoads(exchange.loads, exchange.loads.size());
         return view;
     }
-    if (hasDigest(exchange, now)) {
+    if (hasRecentDigest(exchange, now)) {
         view.entries = exchange.digest.last.others;
-        view.loads = listLoads(exchange.heard, exchange.heard.size());
-        view.isFollowed = exchange.digest.last.isWatching && exchange.digest.last.sender.entry == exchange.aggregator.entry;
+        view.loads = listLoads(exchange.digestLoads, exchange.digestLoads.size());
+        view.isAggregatorWatching = exchange.digest.last.isWatching && exchange.digest.last.sender.entry == exchange.aggregator.entry;
     }
     return view;
 }
 
 // [SECTION] Membership
 
-static void remember(LoadExchange &exchange, const std::string &host, TimePoint now)
+static void recordHost(LoadExchange &exchange, const std::string &host, TimePoint now)
 {
     if (host == exchange.self.host) {
         return;
     }
-    exchange.remembered[host] = now;
-    if (exchange.remembered.size() > maxRememberedHosts) {
-        const auto oldest = std::min_element(exchange.remembered.begin(), exchange.remembered.end(), [](const auto &a, const auto &b) {
+    exchange.knownHosts[host] = now;
+    if (exchange.knownHosts.size() > maxKnownHosts) {
+        const auto oldest = std::min_element(exchange.knownHosts.begin(), exchange.knownHosts.end(), [](const auto &a, const auto &b) {
             return a.second < b.second;
         });
-        exchange.remembered.erase(oldest);
+        exchange.knownHosts.erase(oldest);
     }
 }
 
@@ -298,29 +298,29 @@
 }
 
 /// Reports to another entry from now on; its members are told so with their next reports.
-static void follow(LoadExchange &exchange, const EntryRef &aggregator, TimePoint now)
+static void followAggregator(LoadExchange &exchange, const EntryRef &aggregator, TimePoint now)
 {
     if (isAggregator(exchange) && !isTakingOver(exchange, now)) {
         // Until the first answer comes, what was known counts on.
         GroupDigest known;
         known.others = viewWithout(exchange, exchange.self.entry);
         exchange.digest = {known, now};
-        exchange.heard = exchange.loads;
+        exchange.digestLoads = exchange.loads;
     }
     exchange.aggregator = aggregator;
-    exchange.answeredAt = now;
+    exchange.lastResponseAt = now;
     exchange.members.clear();
     exchange.groups.clear();
     exchange.contacts.clear();
     exchange.loads.clear();
 }
 
-static void aggregate(LoadExchange &exchange, TimePoint now)
+static void becomeAggregator(LoadExchange &exchange, TimePoint now)
 {
     exchange.aggregator = {};
-    exchange.aggregatesSince = now;
-    for (const auto &[host, at] : exchange.remembered) {
-        if (now - at < freshMemory) {
+    exchange.aggregatorSince = now;
+    for (const auto &[host, at] : exchange.knownHosts) {
+        if (now - at < recentHostAge) {
             exchange.contacts[host] = now;
         }
     }
@@ -329,68 +329,68 @@
 /// What others sent while this process stood still waits to be read: taken for gone, their load would not be counted.
 static void creditStalls(LoadExchange &exchange, TimePoint now)
 {
-    const milliseconds stall = stallBefore(exchange.tickedAt, now, exchangeInterval);
-    exchange.tickedAt = now;
+    const milliseconds stall = stallBefore(exchange.lastTickAt, now, exchangeInterval);
+    exchange.lastTickAt = now;
     for (auto &[id, member] : exchange.members) {
-        member.at = creditStall(member.at, stall, now);
+        member.receivedAt = creditStall(member.receivedAt, stall, now);
     }
     for (auto &[id, group] : exchange.groups) {
-        group.at = creditStall(group.at, stall, now);
+        group.receivedAt = creditStall(group.receivedAt, stall, now);
     }
-    exchange.answeredAt = creditStall(exchange.answeredAt, stall, now);
-    exchange.digest.at = exchange.digest.at == TimePoint() ? TimePoint() : creditStall(exchange.digest.at, stall, now);
+    exchange.lastResponseAt = creditStall(exchange.lastResponseAt, stall, now);
+    exchange.digest.receivedAt = exchange.digest.receivedAt == TimePoint() ? TimePoint() : creditStall(exchange.digest.receivedAt, stall, now);
 }
 
 template<typename Message>
-static std::vector<EntryId> silentOnes(const std::map<EntryId, Heard<Message>> &heard, milliseconds allowed, TimePoint now)
+static std::vector<EntryId> expiredIds(const std::map<EntryId, Received<Message>> &digestLoads, milliseconds timeout, TimePoint now)
 {
-    std::vector<EntryId> silent;
-    for (const auto &[id, one] : heard) {
-        if (now - one.at > allowed) {
-            silent.push_back(id);
+    std::vector<EntryId> unresponsiveUntil;
+    for (const auto &[id, one] : digestLoads) {
+        if (now - one.receivedAt > timeout) {
+            unresponsiveUntil.push_back(id);
         }
     }
-    return silent;
+    return unresponsiveUntil;
 }
 
-static void dropSilent(LoadExchange &exchange, TimePoint now)
+static void removeExpired(LoadExchange &exchange, TimePoint now)
 {
-    for (const EntryId &id : silentOnes(exchange.members, exchangeSilence, now)) {
+    for (const EntryId &id : expiredIds(exchange.members, exchangeTimeout, now)) {
         dropMember(exchange, id);
     }
     // Each of many groups is spoken to more rarely.
-    const milliseconds groupSilence = exchangeSilence + exchangeInterval * (exchange.groups.size() / groupsAnInterval);
-    for (const EntryId &id : silentOnes(exchange.groups, groupSilence, now)) {
+    const milliseconds groupTimeout = exchangeTimeout + exchangeInterval * (exchange.groups.size() / summariesPerInterval);
+    for (const EntryId &id : expiredIds(exchange.groups, groupTimeout, now)) {
         dropGroup(exchange, id);
     }
-    std::erase_if(exchange.askers, [now](const auto &asker) {
-        return now - asker.second.at > exchangeSilence;
+    std::erase_if(exchange.joinCandidates, [now](const auto &candidate) {
+        return now - candidate.second.receivedAt > exchangeTimeout;
     });
     std::erase_if(exchange.contacts, [now](const auto &contact) {
-        return now - contact.second > exchangeSilence;
+        return now - contact.second > exchangeTimeout;
     });
-    std::erase_if(exchange.remembered, [now](const auto &host) {
-        return now - host.second > rememberFor;
+    std::erase_if(exchange.knownHosts, [now](const auto &host) {
+        return now - host.second > knownHostExpiry;
     });
-    std::erase_if(exchange.silent, [now](const auto &host) {
+    std::erase_if(exchange.unresponsiveUntil, [now](const auto &host) {
         return now >= host.second;
     });
 }
 
 /// Leaves an aggregator that does not answer: for its deputy, whom all its members know, or else this entry collects itself.
-static void leaveSilentAggregator(LoadExchange &exchange, TimePoint now)
+static void leaveUnresponsiveAggregator(LoadExchange &exchange, TimePoint now)
 {
-    if (isAggregator(exchange) || now - exchange.answeredAt <= answerTimeout) {
+    if (isAggregator(exchange) || now - exchange.lastResponseAt <= aggregatorTimeout) {
         return;
     }
-    const EntryRef deputy = exchange.digest.last.deputy;
-    exchange.silent[exchange.aggregator.host] = now + aggregatorPause;
-    remember(exchange, exchange.aggregator.host, now);
-    const bool isDeputyElsewhere = !deputy.entry.isEmpty() && !isOwn(exchange, deputy) && !isSilent(exchange, deputy.host, now);
-    if (isDeputyElsewhere) {
-        return follow(exchange, deputy, now);
+    const EntryRef standby = exchange.digest.last.deputy;
+    exchange.unresponsiveUntil[exchange.aggregator.host] = now + aggregatorRetryDelay;
+    recordHost(exchange, exchange.aggregator.host, now);
+    const bool hasStandby = !standby.entry.isEmpty() && !isOwn(exchange, standby) && !isUnresponsive(exchange, standby.host, now);
+    if (hasStandby) {
+        return followAggregator(exchange, standby, now);
     }
-    aggregate(exchange, now);
+    becomeAggregator(exchange, now);
 }
 
 /// Joins a better group of the same data centre, or hands the group to a member.
@@ -402,91 +402,91 @@
     const EntryRef *group = groupToJoin(exchange, exchange.self.dataCenter, now);
     const bool fits = group && groupSize(exchange.groups.at(group->entry).last) + exchange.members.size() <= maxGroupMembers;
     if (fits && isBetter(*group, exchange.self)) {
-        return follow(exchange, EntryRef(*group), now);
+        return followAggregator(exchange, EntryRef(*group), now);
     }
-    const EntryRef deputy = deputyOf(exchange);
-    if (!deputy.entry.isEmpty() && isMuchBetter(deputy, exchange.self)) {
-        follow(exchange, deputy, now);
+    const EntryRef standby = standbyAggregator(exchange);
+    if (!standby.entry.isEmpty() && isMuchBetter(standby, exchange.self)) {
+        followAggregator(exchange, standby, now);
     }
 }
 
 // [SECTION] Tick
 
 /// The next of the hosts that were heard of before and are not heard now.
-static std::string hostToTry(LoadExchange &exchange)
+static std::string nextHostToProbe(LoadExchange &exchange)
 {
     std::vector<std::string> hosts = exchange.seeds;
-    for (const auto &[host, at] : exchange.remembered) {
+    for (const auto &[host, at] : exchange.knownHosts) {
         hosts.push_back(host);
     }
     std::sort(hosts.begin(), hosts.end());
-    const auto isHeard = [&exchange](const std::string &host) {
-        const auto is = [&host](const auto &entry) {
+    const auto isActive = [&exchange](const std::string &host) {
+        const auto hasHost = [&host](const auto &entry) {
             return entry.second.last.sender.host == host;
         };
-        return host == exchange.self.host || std::any_of(exchange.members.begin(), exchange.members.end(), is)
-               || std::any_of(exchange.groups.begin(), exchange.groups.end(), is);
+        return host == exchange.self.host || std::any_of(exchange.members.begin(), exchange.members.end(), hasHost)
+               || std::any_of(exchange.groups.begin(), exchange.groups.end(), hasHost);
     };
-    std::erase_if(hosts, isHeard);
+    std::erase_if(hosts, isActive);
     if (hosts.empty()) {
         return {};
     }
-    const auto next = std::upper_bound(hosts.begin(), hosts.end(), exchange.triedHost);
-    exchange.triedHost = next == hosts.end() ? hosts.front() : *next;
-    return exchange.triedHost;
+    const auto next = std::upper_bound(hosts.begin(), hosts.end(), exchange.lastProbedHost);
+    exchange.lastProbedHost = next == hosts.end() ? hosts.front() : *next;
+    return exchange.lastProbedHost;
 }
 
 /// Hosts of the aggregators to speak to this time: groups in turn, those that others told of, and one of before.
-static std::set<std::string> groupHosts(LoadExchange &exchange, TimePoint now)
+static std::set<std::string> summaryReceivers(LoadExchange &exchange, TimePoint now)
 {
-    std::vector<Heard<GroupSummary> *> groups;
+    std::vector<Received<GroupSummary> *> groups;
     for (auto &[id, group] : exchange.groups) {
         groups.push_back(&group);
     }
     std::stable_sort(groups.begin(), groups.end(), [](const auto *a, const auto *b) {
-        return a->toldAt < b->toldAt;
+        return a->sentAt < b->sentAt;
     });
-    groups.resize(std::min(groups.size(), groupsAnInterval));
+    groups.resize(std::min(groups.size(), summariesPerInterval));
     std::set<std::string> hosts;
-    for (Heard<GroupSummary> *group : groups) {
-        group->toldAt = now;
+    for (Received<GroupSummary> *group : groups) {
+        group->sentAt = now;
         hosts.insert(group->last.sender.host);
     }
     for (const auto &[host, at] : exchange.contacts) {
         hosts.insert(host);
     }
-    constexpr std::uint64_t ticksBetweenTries = 6;
-    const std::string tried = exchange.ticks % ticksBetweenTries == 0 ? hostToTry(exchange) : std::string();
-    if (!tried.empty()) {
-        hosts.insert(tried);
+    constexpr std::uint64_t ticksBetweenProbes = 6;
+    const std::string probedHost = exchange.ticks % ticksBetweenProbes == 0 ? nextHostToProbe(exchange) : std::string();
+    if (!probedHost.empty()) {
+        hosts.insert(probedHost);
     }
     return hosts;
 }
 
-static void noteOwnState(LoadExchange &exchange, const EntryState &state)
+static void updateOwnReport(LoadExchange &exchange, const EntryState &state)
 {
     exchange.isWatching = state.isWatching;
-    exchange.own.sender = exchange.self;
-    exchange.own.sender.capacity = state.isDraining ? 0 : exchange.self.capacity;
-    exchange.own.incarnation = exchange.incarnation;
-    exchange.own.isStoreLost = state.isStoreLost;
-    exchange.own.isOrdering = state.isOrdering;
-    exchange.own.configurationChange = state.configurationChange;
-    exchange.own.targetsChange = state.targetsChange;
-    exchange.own.loads = state.loads;
-    exchange.nearTargets = state.nearTargets;
+    exchange.ownReport.sender = exchange.self;
+    exchange.ownReport.sender.capacity = state.isDraining ? 0 : exchange.self.capacity;
+    exchange.ownReport.incarnation = exchange.incarnation;
+    exchange.ownReport.isStoreLost = state.isStoreLost;
+    exchange.ownReport.isOrdering = state.isOrdering;
+    exchange.ownReport.configurationChange = state.configurationChange;
+    exchange.ownReport.targetsChange = state.targetsChange;
+    exchange.ownReport.loads = state.loads;
+    exchange.localTargets = state.localTargets;
 }
 
 ExchangeMessages tick(LoadExchange &exchange, const EntryState &state, TimePoint now)
 {
     ++exchange.ticks;
     exchange.self.capacity = state.isDraining ? 0 : exchange.self.capacity;
-    noteOwnState(exchange, state);
+    updateOwnReport(exchange, state);
     creditStalls(exchange, now);
-    dropSilent(exchange, now);
-    leaveSilentAggregator(exchange, now);
+    removeExpired(exchange, now);
+    leaveUnresponsiveAggregator(exchange, now);
     chooseAggregator(exchange, now);
-    const std::size_t stride = 1 + exchange.nearTargets.size() / nearTargetsAnInterval;
+    const std::size_t stride = 1 + exchange.localTargets.size() / localTargetsPerInterval;
     if (exchange.ticks % stride != 0) {
         return {};
     }
@@ -499,7 +499,7 @@
             messages.push_back({seed, makeReport(exchange)});
         }
     }
-    const std::set<std::string> hosts = groupHosts(exchange, now);
+    const std::set<std::string> hosts = summaryReceivers(exchange, now);
     if (!hosts.empty()) {
         const GroupSummary summary = makeSummary(exchange);
         for (const std::string &host : hosts) {
@@ -511,35 +511,35 @@
 
 // [SECTION] Messages taken
 
-void noteContact(LoadExchange &exchange, const std::string &host, TimePoint now)
+void addContact(LoadExchange &exchange, const std::string &host, TimePoint now)
 {
-    remember(exchange, host, now);
+    recordHost(exchange, host, now);
     if (host != exchange.self.host && exchange.contacts.size() < maxGroups) {
         exchange.contacts[host] = now;
     }
 }
 
 /// The best aggregator for an entry of another data centre: of its group there, or of those that look for one too.
-static EntryRef aggregatorElsewhere(const LoadExchange &exchange, const EntryRef &asker, TimePoint now)
+static EntryRef remoteAggregatorFor(const LoadExchange &exchange, const EntryRef &candidate, TimePoint now)
 {
-    if (const EntryRef *group = groupToJoin(exchange, asker.dataCenter, now)) {
+    if (const EntryRef *group = groupToJoin(exchange, candidate.dataCenter, now)) {
         return *group;
     }
-    const auto best = exchange.askers.find(asker.dataCenter);
-    return best != exchange.askers.end() && isBetter(best->second.last, asker) ? best->second.last : asker;
+    const auto best = exchange.joinCandidates.find(candidate.dataCenter);
+    return best != exchange.joinCandidates.end() && isBetter(best->second.last, candidate) ? best->second.last : candidate;
 }
 
-static void noteAsker(LoadExchange &exchange, const EntryRef &asker, TimePoint now)
+static void recordJoinCandidate(LoadExchange &exchange, const EntryRef &candidate, TimePoint now)
 {
-    const auto best = exchange.askers.find(asker.dataCenter);
-    const bool isBest = best == exchange.askers.end() || !isBetter(best->second.last, asker);
-    if (isBest && (best != exchange.askers.end() || exchange.askers.size() < maxGroups)) {
-        exchange.askers[asker.dataCenter] = {asker, now};
+    const auto best = exchange.joinCandidates.find(candidate.dataCenter);
+    const bool isBest = best == exchange.joinCandidates.end() || !isBetter(best->second.last, candidate);
+    if (isBest && (best != exchange.joinCandidates.end() || exchange.joinCandidates.size() < maxGroups)) {
+        exchange.joinCandidates[candidate.dataCenter] = {candidate, now};
     }
 }
 
 /// A better group of the sender's data centre that both fit into; null if this entry hears of none.
-static const EntryRef *groupForGroup(const LoadExchange &exchange, const GroupSummary &summary, TimePoint now)
+static const EntryRef *groupToMergeInto(const LoadExchange &exchange, const GroupSummary &summary, TimePoint now)
 {
     const EntryRef *better = groupToJoin(exchange, summary.sender.dataCenter, now);
     if (!better || !isBetter(*better, summary.sender)) {
@@ -549,7 +549,7 @@
     return fits ? better : nullptr;
 }
 
-static ExchangeMessages takeMember(LoadExchange &exchange, const EntryReport &report, TimePoint now)
+static ExchangeMessages handleMemberReport(LoadExchange &exchange, const EntryReport &report, TimePoint now)
 {
     const EntryId &id = report.sender.entry;
     const auto known = exchange.members.find(id);
@@ -570,7 +570,7 @@
     return {{report.sender.host, digestFor(exchange, report, now)}};
 }
 
-ExchangeMessages takeReport(LoadExchange &exchange, const EntryReport &report, TimePoint now)
+ExchangeMessages handleReport(LoadExchange &exchange, const EntryReport &report, TimePoint now)
 {
     if (isOwn(exchange, report.sender)) {
         return {};
@@ -578,18 +578,18 @@
     if (report.sender.entry == exchange.aggregator.entry) {
         // It hands its group over. One that stops is not to be followed again when others still name it.
         if (report.sender.capacity == 0) {
-            exchange.silent[report.sender.host] = now + aggregatorPause;
+            exchange.unresponsiveUntil[report.sender.host] = now + aggregatorRetryDelay;
         }
-        aggregate(exchange, now);
+        becomeAggregator(exchange, now);
     }
     if (!isAggregator(exchange)) {
         return redirect(exchange, report.sender.host, exchange.aggregator);
     }
-    if (isNear(exchange, report.sender)) {
-        return takeMember(exchange, report, now);
+    if (isSameDataCenter(exchange, report.sender)) {
+        return handleMemberReport(exchange, report, now);
     }
-    noteAsker(exchange, report.sender, now);
-    return redirect(exchange, report.sender.host, aggregatorElsewhere(exchange, report.sender, now));
+    recordJoinCandidate(exchange, report.sender, now);
+    return redirect(exchange, report.sender.host, remoteAggregatorFor(exchange, report.sender, now));
 }
 
 /// A group whose aggregator reports to another of its data centre is part of that one's group now: counted twice otherwise.
@@ -603,30 +603,30 @@
 }
 
 /// Follows who was named, if that ends a search or improves the group; else gets to know it.
-static void takeNamedAggregator(LoadExchange &exchange, const EntryRef &named, TimePoint now)
+static void handleNamedAggregator(LoadExchange &exchange, const EntryRef &named, TimePoint now)
 {
-    if (named.entry.isEmpty() || isOwn(exchange, named) || isSilent(exchange, named.host, now)) {
+    if (named.entry.isEmpty() || isOwn(exchange, named) || isUnresponsive(exchange, named.host, now)) {
         return;
     }
     const bool isUseful = isJoining(exchange, now) || isBetter(named, exchange.self);
-    if (isNear(exchange, named) && isUseful && named.capacity > 0) {
-        return follow(exchange, named, now);
+    if (isSameDataCenter(exchange, named) && isUseful && named.capacity > 0) {
+        return followAggregator(exchange, named, now);
     }
     if (!exchange.groups.contains(named.entry) && exchange.contacts.size() < maxGroups) {
         exchange.contacts[named.host] = now;
     }
 }
 
-ExchangeMessages takeDigest(LoadExchange &exchange, const GroupDigest &digest, TimePoint now)
+ExchangeMessages handleDigest(LoadExchange &exchange, const GroupDigest &digest, TimePoint now)
 {
     if (isOwn(exchange, digest.sender)) {
         return {};
     }
-    const bool isTaken = digest.aggregator.entry == digest.sender.entry;
+    const bool isAccepted = digest.aggregator.entry == digest.sender.entry;
     if (isAggregator(exchange)) {
         // It looks for a group, or tries a host of before.
         dropGroupThatJoinedAnother(exchange, digest);
-        takeNamedAggregator(exchange, digest.aggregator, now);
+        handleNamedAggregator(exchange, digest.aggregator, now);
         return {};
     }
     if (digest.sender.entry != exchange.aggregator.entry) {
@@ -636,28 +636,28 @@
     if (digest.sender.entry == last.sender.entry && !isNewer(digest, last)) {
         return {};
     }
-    if (isTaken) {
-        takeLoads(exchange, digest);
+    if (isAccepted) {
+        applyLoads(exchange, digest);
         exchange.digest = {digest, now};
-        exchange.answeredAt = now;
-        remember(exchange, digest.sender.host, now);
+        exchange.lastResponseAt = now;
+        recordHost(exchange, digest.sender.host, now);
         for (const EntryRef &aggregator : digest.aggregators) {
-            remember(exchange, aggregator.host, now);
+            recordHost(exchange, aggregator.host, now);
         }
     } else if (isOwn(exchange, digest.aggregator)) {
-        aggregate(exchange, now);
-    } else if (!isSilent(exchange, digest.aggregator.host, now)) {
-        follow(exchange, digest.aggregator, now);
+        becomeAggregator(exchange, now);
+    } else if (!isUnresponsive(exchange, digest.aggregator.host, now)) {
+        followAggregator(exchange, digest.aggregator, now);
     }
     return {};
 }
 
-ExchangeMessages takeSummary(LoadExchange &exchange, const GroupSummary &summary, TimePoint now)
+ExchangeMessages handleSummary(LoadExchange &exchange, const GroupSummary &summary, TimePoint now)
 {
     if (isOwn(exchange, summary.sender)) {
         return {};
     }
-    remember(exchange, summary.sender.host, now);
+    recordHost(exchange, summary.sender.host, now);
     if (!isAggregator(exchange)) {
         const bool isOfAggregator = summary.sender.entry == exchange.aggregator.entry;
         return isOfAggregator ? ExchangeMessages() : redirect(exchange, summary.sender.host, exchange.aggregator);
@@ -667,11 +667,11 @@
     if (known != exchange.groups.end() && !isNewer(summary, known->second.last)) {
         return {};
     }
-    const TimePoint toldAt = known != exchange.groups.end() ? known->second.toldAt : TimePoint();
+    const TimePoint sentAt = known != exchange.groups.end() ? known->second.sentAt : TimePoint();
     dropMember(exchange, id);
     dropGroup(exchange, id);
     if (exchange.groups.size() < maxGroups) {
-        exchange.groups[id] = {summary, now, toldAt};
+        exchange.groups[id] = {summary, now, sentAt};
         addLoads(exchange.loads, summary.loads);
     }
     for (const EntryRef &aggregator : summary.aggregators) {
@@ -680,7 +680,7 @@
             exchange.contacts[aggregator.host] = now;
         }
     }
-    const EntryRef *better = groupForGroup(exchange, summary, now);
+    const EntryRef *better = groupToMergeInto(exchange, summary, now);
     return better ? redirect(exchange, summary.sender.host, *better) : ExchangeMessages();
 }
 
--- a/src/policy/load_exchange.h
+++ b/src/policy/load_exchange.h
@@ -28,27 +28,27 @@
 /// Between reports. All entries of a data centre choose by the same news: with old news they all choose the same engines.
 constexpr milliseconds exchangeInterval{100};
 /// With more targets than this in a data centre, reports are as much rarer as its list is longer.
-constexpr std::size_t nearTargetsAnInterval = 64;
+constexpr std::size_t localTargetsPerInterval = 64;
 /// News of other data centres is told in turns: requests go there only if their own has no room.
-constexpr std::uint32_t farTurns = 4;
+constexpr std::uint32_t remoteSlices = 4;
 /// An aggregator that did not answer for this long is left: three reports or answers lost in a row.
-constexpr milliseconds answerTimeout{700};
+constexpr milliseconds aggregatorTimeout{700};
 /// It is not tried again before: time to come back or to be replaced.
-constexpr milliseconds aggregatorPause{3000};
+constexpr milliseconds aggregatorRetryDelay{3000};
 /// A member or group not heard of for this long is gone: several datagrams lost in a row.
-constexpr milliseconds exchangeSilence{1500};
-constexpr std::size_t maxGroupMembers = 24;   ///< bounds what an aggregator sends
-constexpr std::size_t maxToldLoads = 160;     ///< of one message: a datagram of 2 KB
-constexpr std::size_t maxGroups = 64;         ///< aggregators that one hears
-constexpr std::size_t maxToldAggregators = 8; ///< of one message to another group; others the next time
-constexpr std::size_t maxToldToMembers = 2;   ///< the same, to a member
+constexpr milliseconds exchangeTimeout{1500};
+constexpr std::size_t maxGroupMembers = 24;      ///< bounds what an aggregator sends
+constexpr std::size_t maxReportedLoads = 160;    ///< of one message: a datagram of 2 KB
+constexpr std::size_t maxGroups = 64;            ///< aggregators that one hears
+constexpr std::size_t maxSummaryAggregators = 8; ///< of one message to another group; others the next time
+constexpr std::size_t maxDigestAggregators = 2;  ///< the same, to a member
 /// Messages to other groups are rarer if there are more groups: this many are sent an interval, to those told longest ago.
-constexpr std::size_t groupsAnInterval = 8;
+constexpr std::size_t summariesPerInterval = 8;
 /// Hosts that are tried in turn after they fell silent, and for how long.
-constexpr std::size_t maxRememberedHosts = 32;
-constexpr std::chrono::minutes rememberFor{10};
+constexpr std::size_t maxKnownHosts = 32;
+constexpr std::chrono::minutes knownHostExpiry{10};
 /// A new aggregator speaks at once to the hosts heard of in this time.
-constexpr milliseconds freshMemory{10000};
+constexpr milliseconds recentHostAge{10000};
 /// What an aggregator knew before it became one counts this long: its members have all reported by then.
 constexpr milliseconds takeoverTime{1200};
 /// After a start the seeds are asked for the group to join this often, then as hosts that are remembered.
@@ -56,14 +56,14 @@
 
 /// What an entry tells of itself.
 struct EntryState {
-    bool isStoreLost = false;               ///< the store does not answer it
-    bool isDraining = false;                ///< it is stopping
-    bool isOrdering = false;                ///< it gives engines orders
-    bool isWatching = false;                ///< it follows the tables of the store itself
-    std::uint64_t configurationChange = 0;  ///< newest change of the configuration table that it knows
-    std::uint64_t targetsChange = 0;        ///< the same of the target table
-    std::vector<EngineLoad> loads;          ///< targets with load of it, or avoided by it
-    std::vector<std::uint32_t> nearTargets; ///< keys of all targets of its data centre, ascending
+    bool isStoreLost = false;                ///< the store does not answer it
+    bool isDraining = false;                 ///< it is stopping
+    bool isOrdering = false;                 ///< it gives engines orders
+    bool isWatching = false;                 ///< it follows the tables of the store itself
+    std::uint64_t configurationChange = 0;   ///< newest change of the configuration table that it knows
+    std::uint64_t targetsChange = 0;         ///< the same of the target table
+    std::vector<EngineLoad> loads;           ///< targets with load of it, or avoided by it
+    std::vector<std::uint32_t> localTargets; ///< keys of all targets of its data centre, ascending
 };
 
 /// A message to be sent.
@@ -75,58 +75,58 @@
 
 /// Newest message of another entry.
 template<typename Message>
-struct Heard {
-    Message last;       ///< message
-    TimePoint at{};     ///< when it came
-    TimePoint toldAt{}; ///< when it was last sent something, of groups
+struct Received {
+    Message last;           ///< message
+    TimePoint receivedAt{}; ///< when it came
+    TimePoint sentAt{};     ///< when it was last sent something, of groups
 };
 
 /// State of one entry.
 struct LoadExchange {
-    EntryRef self;                                 ///< this entry
-    Incarnation incarnation;                       ///< its start
-    std::vector<std::string> seeds;                ///< hosts of the settings
-    TimePoint startedAt{};                         ///< of this process
-    TimePoint tickedAt{};                          ///< of the last tick
-    std::uint64_t ticks = 0;                       ///< so far
-    std::uint64_t sequence = 0;                    ///< of the last message
-    EntryReport own;                               ///< what this entry would report
-    bool isWatching = false;                       ///< see EntryState
-    EntryRef aggregator;                           ///< reported to; no id: this entry aggregates its group
-    TimePoint answeredAt{};                        ///< when it last answered, or was chosen
-    TimePoint aggregatesSince{};                   ///< when this entry began to aggregate its group
-    std::vector<std::uint32_t> nearTargets;        ///< see EntryState
-    Heard<GroupDigest> digest;                     ///< its last answer
-    LoadTable heard;                               ///< what digests told of the others
-    std::map<EntryId, Heard<EntryReport>> members; ///< of the own group, if this entry aggregates it
-    std::map<EntryId, Heard<GroupSummary>> groups; ///< other groups
-    LoadTable loads;                               ///< of members and groups
-    std::map<std::string, Heard<EntryRef>> askers; ///< by data centre: the best of the entries that looked for a group
-    std::map<std::string, TimePoint> contacts;     ///< aggregators that others told of, and when
-    std::map<std::string, TimePoint> remembered;   ///< hosts heard of before, and when last
-    std::map<std::string, TimePoint> silent;       ///< aggregators that did not answer, and until when they are not tried
-    std::string triedHost;                         ///< host of `remembered` that was tried last
-    EntryId toldAggregator;                        ///< aggregator that was named last
+    EntryRef self;                                            ///< this entry
+    Incarnation incarnation;                                  ///< its start
+    std::vector<std::string> seeds;                           ///< hosts of the settings
+    TimePoint startedAt{};                                    ///< of this process
+    TimePoint lastTickAt{};                                   ///< of the last tick
+    std::uint64_t ticks = 0;                                  ///< so far
+    std::uint64_t sequence = 0;                               ///< of the last message
+    EntryReport ownReport;                                    ///< what this entry would report
+    bool isWatching = false;                                  ///< see EntryState
+    EntryRef aggregator;                                      ///< reported to; no id: this entry aggregates its group
+    TimePoint lastResponseAt{};                               ///< when it last answered, or was chosen
+    TimePoint aggregatorSince{};                              ///< when this entry began to aggregate its group
+    std::vector<std::uint32_t> localTargets;                  ///< see EntryState
+    Received<GroupDigest> digest;                             ///< its last answer
+    LoadTable digestLoads;                                    ///< what digests told of the others
+    std::map<EntryId, Received<EntryReport>> members;         ///< of the own group, if this entry aggregates it
+    std::map<EntryId, Received<GroupSummary>> groups;         ///< other groups
+    LoadTable loads;                                          ///< of members and groups
+    std::map<std::string, Received<EntryRef>> joinCandidates; ///< by data centre: the best of the entries that looked for a group
+    std::map<std::string, TimePoint> contacts;                ///< aggregators that others told of, and when
+    std::map<std::string, TimePoint> knownHosts;              ///< hosts heard of before, and when last
+    std::map<std::string, TimePoint> unresponsiveUntil;       ///< aggregators that did not answer, and until when they are not tried
+    std::string lastProbedHost;                               ///< host of `remembered` that was tried last
+    EntryId lastNamedAggregator;                              ///< aggregator that was named last
 };
 
 /// All other entries together, as this one knows.
-struct OthersView {
-    EntriesView entries;           ///< who and what they are
-    std::vector<EngineLoad> loads; ///< what they have open
-    bool isFollowed = false;       ///< the aggregator follows the tables of the store, and the store answers it
-    std::string aggregator;        ///< its host; empty: this entry
+struct PeersView {
+    EntriesView entries;               ///< who and what they are
+    std::vector<EngineLoad> loads;     ///< what they have open
+    bool isAggregatorWatching = false; ///< the aggregator follows the tables of the store, and the store answers it
+    std::string aggregator;            ///< its host; empty: this entry
 };
 
 LoadExchange makeLoadExchange(const EntryRef &self, Incarnation incarnation, std::vector<std::string> seeds, TimePoint now);
 /// Drops who is silent, chooses the aggregator anew if need be, and tells what this entry has.
 ExchangeMessages tick(LoadExchange &exchange, const EntryState &state, TimePoint now);
 /// Another entry's host was learned elsewhere: it is spoken to.
-void noteContact(LoadExchange &exchange, const std::string &host, TimePoint now);
-ExchangeMessages takeReport(LoadExchange &exchange, const EntryReport &report, TimePoint now);
-ExchangeMessages takeDigest(LoadExchange &exchange, const GroupDigest &digest, TimePoint now);
-ExchangeMessages takeSummary(LoadExchange &exchange, const GroupSummary &summary, TimePoint now);
+void addContact(LoadExchange &exchange, const std::string &host, TimePoint now);
+ExchangeMessages handleReport(LoadExchange &exchange, const EntryReport &report, TimePoint now);
+ExchangeMessages handleDigest(LoadExchange &exchange, const GroupDigest &digest, TimePoint now);
+ExchangeMessages handleSummary(LoadExchange &exchange, const GroupSummary &summary, TimePoint now);
 /// Nobody, if neither members nor groups nor an aggregator are heard.
-OthersView othersOf(const LoadExchange &exchange, TimePoint now);
+PeersView peersView(const LoadExchange &exchange, TimePoint now);
 /// Whether this entry aggregates its group.
 bool isAggregator(const LoadExchange &exchange);
 
--- a/src/policy/shared_budget.cpp
+++ b/src/policy/shared_budget.cpp
@@ -5,37 +5,37 @@
 namespace Parsleytrail
 {
 
-double retryPart(const SharedBudgetTerms &terms, int entries)
+double retryBurstShare(const SharedBudgetLimits &limits, int entries)
 {
-    const bool isNone = terms.share <= 0 && terms.burst <= 0;
-    return isNone ? 0 : std::max(1.0, terms.burst * sharedBudgetUse / std::max(entries, 1));
+    const bool isNone = limits.share <= 0 && limits.burst <= 0;
+    return isNone ? 0 : std::max(1.0, limits.burst * usableBudgetShare / std::max(entries, 1));
 }
 
-RetryBudget makeRetryPart(const SharedBudgetTerms &terms, int entries)
+RetryBudget makeRetryBudget(const SharedBudgetLimits &limits, int entries)
 {
     RetryBudget budget;
-    budget.share = terms.share * sharedBudgetUse;
-    budget.burst = retryPart(terms, entries);
-    budget.saved = std::min(1.0, budget.burst);
+    budget.share = limits.share * usableBudgetShare;
+    budget.burst = retryBurstShare(limits, entries);
+    budget.available = std::min(1.0, budget.burst);
     return budget;
 }
 
-void resizeRetryPart(RetryBudget &budget, const SharedBudgetTerms &terms, int entries)
+void resizeRetryBudget(RetryBudget &budget, const SharedBudgetLimits &limits, int entries)
 {
-    budget.burst = retryPart(terms, entries);
-    budget.saved = std::min(budget.saved, budget.burst);
+    budget.burst = retryBurstShare(limits, entries);
+    budget.available = std::min(budget.available, budget.burst);
 }
 
-void grantRetryPart(RetryBudget &budget)
+void grantRetryBurst(RetryBudget &budget)
 {
-    budget.saved = budget.burst;
+    budget.available = budget.burst;
 }
 
 int entriesToShareWith(const EntryCount &count, TimePoint now)
 {
-    const int heard = 1 + count.mostHeard;
-    const bool mayMissSome = count.mayHavePeers && (count.mostHeard == 0 || now - count.startedAt < hearingTime);
-    return mayMissSome ? std::max(heard, assumedEntries) : heard;
+    const int seen = 1 + count.mostPeersSeen;
+    const bool mayMissSome = count.mayHavePeers && (count.mostPeersSeen == 0 || now - count.startedAt < peerDiscoveryTime);
+    return mayMissSome ? std::max(seen, assumedEntries) : seen;
 }
 
 } // namespace Parsleytrail
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -8,9 +8,9 @@
 namespace Parsleytrail
 {
 
-static SharedBudgetTerms retryTerms(const RelayContext &context)
+static SharedBudgetLimits retryTerms(const RelayContext &context)
 {
-    SharedBudgetTerms terms;
+    SharedBudgetLimits terms;
     terms.share = context.settings.retryShare;
     terms.burst = context.settings.retryBurst;
     terms.window = std::chrono::duration_cast<std::chrono::seconds>(context.settings.retryWindow);
@@ -23,57 +23,57 @@
     if (it != context.retryBudgets.end()) {
         return it->second;
     }
-    RetryBudget budget = makeRetryPart(retryTerms(context), entriesToShareWith(context.entryCount, context.clock.now()));
+    RetryBudget budget = makeRetryBudget(retryTerms(context), entriesToShareWith(context.entryCount, context.clock.now()));
     if (context.hasRetryPart) {
-        grantRetryPart(budget);
+        grantRetryBurst(budget);
     }
     return context.retryBudgets.emplace(service, budget).first->second;
 }
 
 void noteHeardEntries(RelayContext &context, int heard)
 {
-    context.entryCount.mostHeard = std::max(context.entryCount.mostHeard, heard);
+    context.entryCount.mostPeersSeen = std::max(context.entryCount.mostPeersSeen, heard);
 }
 
 void updateBudgetParts(RelayContext &context)
 {
     const TimePoint now = context.clock.now();
-    const SharedBudgetTerms terms = retryTerms(context);
+    const SharedBudgetLimits terms = retryTerms(context);
     const bool isGranted = !context.hasRetryPart && now - context.entryCount.startedAt >= terms.window;
     context.hasRetryPart = context.hasRetryPart || isGranted;
     for (auto &[service, budget] : context.retryBudgets) {
-        resizeRetryPart(budget, terms, entriesToShareWith(context.entryCount, now));
+        resizeRetryBudget(budget, terms, entriesToShareWith(context.entryCount, now));
         if (isGranted) {
-            grantRetryPart(budget);
+            grantRetryBurst(budget);
         }
     }
 }
 
 bool tryRetry(RelayContext &context, const ServiceName &service)
 {
-    return tryRetry(budgetOf(context, service));
+    return tryConsumeRetry(budgetOf(context, service));
 }
 
 bool hasRetry(RelayContext &context, const ServiceName &service)
 {
-    return budgetOf(context, service).saved >= 1;
+    return budgetOf(context, service).available >= 1;
 }
 
 bool hasSpareRetries(RelayContext &context, const ServiceName &service)
 {
     const RetryBudget &budget = budgetOf(context, service);
-    return budget.saved > budget.burst / 2;
+    return budget.available > budget.burst / 2;
 }
 
 void noteRequest(RelayContext &context, const ServiceName &service)
 {
-    noteRequest(budgetOf(context, service));
+    recordRequest(budgetOf(context, service));
 }
 
-RateBudget &crossingBudget(RelayContext &context, const ServiceSpec &service)
+TokenBucket &crossingBudget(RelayContext &context, const ServiceSpec &service)
 {
-    const RateBudget newest = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
-    RateBudget &budget = context.crossingBudgets[service.name];
+    const TokenBucket newest = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
+    TokenBucket &budget = context.crossingBudgets[service.name];
     budget.perSecond = newest.perSecond;
     budget.burst = newest.burst;
     return budget;
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -44,7 +44,7 @@
     Fleet fleet{};
     std::shared_ptr<const RouteTable> routes{}; ///< in force; null until one is known
     std::unordered_map<ServiceName, RetryBudget> retryBudgets{};
-    std::unordered_map<ServiceName, RateBudget> crossingBudgets{};
+    std::unordered_map<ServiceName, TokenBucket> crossingBudgets{};
     std::mt19937_64 random{}; ///< seeded by the id and the start, so that a run can be repeated
     RelayMetrics metrics{};
     double usualGapMs = 50;    ///< moving average of the time between two events of a stream
@@ -66,7 +66,7 @@
 void noteRequest(RelayContext &context, const ServiceName &service);
 
 /// This entry's part of the pipe between the data centres of a service, at the rate of the newest configuration.
-RateBudget &crossingBudget(RelayContext &context, const ServiceSpec &service);
+TokenBucket &crossingBudget(RelayContext &context, const ServiceSpec &service);
 
 /// Avoids a target after a failure, and logs it.
 void avoidTarget(RelayContext &context, const TargetId &id, std::string_view reason);
--- a/src/relay/registry.cpp
+++ b/src/relay/registry.cpp
@@ -117,10 +117,10 @@
     state.targetsChange = d->targets->lastChange();
 }
 
-void Registry::noteOthers(const OthersView &others)
+void Registry::noteOthers(const PeersView &others)
 {
     const EntriesView &entries = others.entries;
-    if (others.isFollowed) {
+    if (others.isAggregatorWatching) {
         d->configuration->follow();
         d->targets->follow();
         if (entries.configuration.change > d->configuration->lastChange()) {
--- a/src/relay/registry.h
+++ b/src/relay/registry.h
@@ -28,7 +28,7 @@
     void describe(EntryState &state) const;
     /// Learns from the others. While the aggregator follows the tables this entry does not, and fetches changes from it; while
     /// the store does not answer this entry, it fetches newer rows from whoever has them.
-    void noteOthers(const OthersView &others);
+    void noteOthers(const PeersView &others);
     /// Answers a peer's TableWanted with a TableCopy; empty if it is malformed or asks for another table.
     std::string copyTable(std::string_view wantedBytes) const;
     /// Whether targets that live may be missing: the store came back a moment ago, entries lapse while it is away, and this
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -450,7 +450,7 @@
         state.isDraining = data.isDraining;
         state.isOrdering = data.lease->isHeld() || data.ordersWithoutStore;
     };
-    onPeers.onOthers = [&data](const OthersView &others) {
+    onPeers.onOthers = [&data](const PeersView &others) {
         data.registry->noteOthers(others);
     };
     data.peers = std::make_unique<RelayPeers>(data.context, std::move(onPeers));
@@ -529,7 +529,7 @@
     state["openRequests"] = d->forwardings.size();
     state["peersHeard"] = d->peers->others().entries.entries;
     state["aggregator"] = d->peers->others().aggregator;
-    state["followsAggregator"] = d->peers->others().isFollowed;
+    state["followsAggregator"] = d->peers->others().isAggregatorWatching;
     state["callerConnections"] = d->sessions->count();
     for (const auto &[id, target] : context.fleet.targets) {
         state["targets"][id.value] = {{"service", target.listed.service.value}, {"address", target.listed.address.toString()},
--- a/src/relay/relay_peers.cpp
+++ b/src/relay/relay_peers.cpp
@@ -17,13 +17,13 @@
     std::unique_ptr<Datagrams> datagrams{};
     std::unique_ptr<Timer> tickTimer{};
     LoadExchange exchange{};
-    OthersView others{};
+    PeersView others{};
 
     EntryState describeSelf() const;
     bool takeDatagram(const Frame &frame);
     void send(const ExchangeMessages &messages);
     void takeOthers();
-    void logChanges(const OthersView &before) const;
+    void logChanges(const PeersView &before) const;
 };
 
 static EntryRef selfOf(const RelaySettings &settings)
@@ -61,14 +61,14 @@
     return {};
 }
 
-const OthersView &RelayPeers::others() const
+const PeersView &RelayPeers::others() const
 {
     return d->others;
 }
 
 void RelayPeers::noteHost(const std::string &host)
 {
-    noteContact(d->exchange, host, d->context.clock.now());
+    addContact(d->exchange, host, d->context.clock.now());
 }
 
 EntryState RelayPeers::Private::describeSelf() const
@@ -78,15 +78,15 @@
     EntryState state;
     for (const auto &[id, target] : context.fleet.targets) {
         if (target.listed.dataCenter == context.settings.dataCenter) {
-            state.nearTargets.push_back(loadKey(target.listed));
+            state.localTargets.push_back(loadKey(target.listed));
         }
         const bool isAvoidedHere = isAvoided(target, now);
         if (target.openRequests > 0 || isAvoidedHere) {
             loads[loadKey(target.listed)] = {target.openRequests, isAvoidedHere ? 1 : 0, target.kvTokenLayers};
         }
     }
-    std::sort(state.nearTargets.begin(), state.nearTargets.end());
-    state.loads = listLoads(loads, maxToldLoads);
+    std::sort(state.localTargets.begin(), state.localTargets.end());
+    state.loads = listLoads(loads, maxReportedLoads);
     handlers.describe(state);
     return state;
 }
@@ -97,15 +97,15 @@
     switch (frame.message) {
     case EntryReport::messageId:
         return decodeAnd<EntryReport>(frame, [&](const EntryReport &report) {
-            send(takeReport(exchange, report, now));
+            send(handleReport(exchange, report, now));
         });
     case GroupSummary::messageId:
         return decodeAnd<GroupSummary>(frame, [&](const GroupSummary &summary) {
-            send(takeSummary(exchange, summary, now));
+            send(handleSummary(exchange, summary, now));
         });
     case GroupDigest::messageId:
         return decodeAnd<GroupDigest>(frame, [&](const GroupDigest &digest) {
-            send(takeDigest(exchange, digest, now));
+            send(handleDigest(exchange, digest, now));
             takeOthers();
         });
     default:
@@ -128,7 +128,7 @@
 /// Takes what the others have open into the fleet.
 void RelayPeers::Private::takeOthers()
 {
-    const OthersView before = std::exchange(others, othersOf(exchange, context.clock.now()));
+    const PeersView before = std::exchange(others, peersView(exchange, context.clock.now()));
     std::sort(others.loads.begin(), others.loads.end(), [](const EngineLoad &a, const EngineLoad &b) {
         return a.target < b.target;
     });
@@ -147,7 +147,7 @@
     handlers.onOthers(others);
 }
 
-void RelayPeers::Private::logChanges(const OthersView &before) const
+void RelayPeers::Private::logChanges(const PeersView &before) const
 {
     const std::string count = std::to_string(others.entries.entries);
     if (before.aggregator != others.aggregator) {
--- a/src/relay/relay_peers.h
+++ b/src/relay/relay_peers.h
@@ -18,8 +18,8 @@
 {
 public:
     struct Handlers {
-        std::function<void(EntryState &)> describe;       ///< fills in all but the loads
-        std::function<void(const OthersView &)> onOthers; ///< after each news of the others
+        std::function<void(EntryState &)> describe;      ///< fills in all but the loads
+        std::function<void(const PeersView &)> onOthers; ///< after each news of the others
     };
 
     RelayPeers(RelayContext &context, Handlers handlers);
@@ -27,7 +27,7 @@
     /// Binds and begins to report. Fails with the step "bind datagrams".
     Result<void> start();
     /// All others together, as last heard.
-    const OthersView &others() const;
+    const PeersView &others() const;
     /// The host of another relay was learned elsewhere.
     void noteHost(const std::string &host);
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -39,8 +39,8 @@
     Address platform;
     StoreLimits limits;
     Circuit circuit;
-    RateBudget readBudget;
-    RateBudget writeBudget;
+    TokenBucket readBudget;
+    TokenBucket writeBudget;
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< callbacks of calls that outlive this object do nothing
@@ -84,7 +84,7 @@
     if (!tryPass(circuit, now)) {
         return refuse(done, "circuit open");
     }
-    if (!tryTake(access == Access::Read ? readBudget : writeBudget, now)) {
+    if (!tryConsume(access == Access::Read ? readBudget : writeBudget, now)) {
         circuit.isProbing = false;
         return refuse(done, "over this process's share of the store");
     }
--- a/stand-ins/platform.cpp
+++ b/stand-ins/platform.cpp
@@ -61,7 +61,7 @@
     std::map<std::string, Table> tables;
     std::map<std::string, std::string> objects;
     std::map<std::string, Listed> list;
-    RateBudget weightBudget{10, 10, 0, {}};
+    TokenBucket weightBudget{10, 10, 0, {}};
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t refused = 0;
@@ -241,7 +241,7 @@
         return membershipCall(request, decodePath(std::string(path)));
     }
     if (path.starts_with("/weights/")) {
-        const bool isAllowed = tryTake(weightBudget, clock.now());
+        const bool isAllowed = tryConsume(weightBudget, clock.now());
         return {isAllowed ? 200 : 429, json::object()};
     }
     return {404, {{"error", "no such path"}}};
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -31,7 +31,7 @@
     for (int step = 0; step < 60000; ++step) {
         now += milliseconds(1);
         const double running = limit.limit;
-        noteGap(limit, running / 1000, 0.039, static_cast<std::size_t>(running), now);
+        recordLatency(limit, running / 1000, 0.039, static_cast<std::size_t>(running), now);
     }
     BOOST_TEST(limit.limit > 25);
     BOOST_TEST(limit.limit < 48);
@@ -41,7 +41,7 @@
 {
     AdmissionLimit limit;
     for (int step = 0; step < 10000; ++step) {
-        noteGap(limit, 0.001, 0.039, 3, start + milliseconds(step));
+        recordLatency(limit, 0.001, 0.039, 3, start + milliseconds(step));
     }
     BOOST_TEST(limit.limit == AdmissionLimit().limit);
 }
@@ -59,11 +59,11 @@
         waiting.push_back(waitingOf("small-a", 1, 50, 200 + i));
         waiting.push_back(waitingOf("small-b", 1, 50, 200 + i));
     }
-    ShareLedger ledger;
+    FairShareLedger ledger;
     int small = 0;
     for (int i = 0; i < 30; ++i) {
-        const std::size_t next = chooseNext(waiting, ledger, start);
-        noteStarted(ledger, waiting[next], start);
+        const std::size_t next = selectNext(waiting, ledger, start);
+        recordStart(ledger, waiting[next], start);
         small += waiting[next].workspace.value != "large" ? 1 : 0;
         waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(next));
     }
@@ -73,11 +73,11 @@
 BOOST_AUTO_TEST_CASE(worth_for_cost_goes_first_within_a_workspace)
 {
     std::vector<WaitingRequest> waiting = {waitingOf("w", 1, 100, 0), waitingOf("w", 1, 10, 5), waitingOf("w", 1, 10, 3)};
-    BOOST_TEST(chooseNext(waiting, {}, start) == 2u);
+    BOOST_TEST(selectNext(waiting, {}, start) == 2u);
     waiting[2].startBy = start; // too late
-    BOOST_TEST(chooseNext(waiting, {}, start) == 1u);
-    BOOST_TEST((lateRequests(waiting, start) == std::vector<std::size_t>{2}));
-    BOOST_TEST(chooseNext({}, {}, start) == 0u);
+    BOOST_TEST(selectNext(waiting, {}, start) == 1u);
+    BOOST_TEST((expiredRequests(waiting, start) == std::vector<std::size_t>{2}));
+    BOOST_TEST(selectNext({}, {}, start) == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(over_the_limit_requests_wait_and_late_ones_are_refused_at_once)
--- a/tests/chain_choice_test.cpp
+++ b/tests/chain_choice_test.cpp
@@ -141,10 +141,10 @@
         {builder.add("home", {0, 30}), {}, {0, 30}}, {builder.add("home", {30, 40}), {}, {30, 40}}, {builder.add("away", {40, 80}), {}, {40, 80}}};
     constexpr int entries = 25;
     constexpr int seconds = 10;
-    std::vector<RateBudget> budgets(entries, makeCrossingBudget(model, entries));
+    std::vector<TokenBucket> budgets(entries, makeCrossingBudget(model, entries));
     double bytes = 0;
     for (int tick = 0; tick < seconds * 100; ++tick) {
-        for (RateBudget &budget : budgets) {
+        for (TokenBucket &budget : budgets) {
             const StreamDemand demand{100.0 + 20 * (tick % 100), 200};
             if (mayCross(budget, start + milliseconds(10) * tick)) {
                 noteCrossing(budget, crossingBytes(builder.fleet, model, chain, demand));
@@ -156,7 +156,7 @@
     BOOST_TEST(bytes < pipeBytes);
     BOOST_TEST(bytes > pipeBytes / 3);
     BOOST_TEST(crossingBytes(builder.fleet, model, {chain[0], chain[1]}, {100, 200}) == 0);
-    RateBudget unknown = makeCrossingBudget(lightModel(), entries);
+    TokenBucket unknown = makeCrossingBudget(lightModel(), entries);
     noteCrossing(unknown, 1e12);
     BOOST_TEST(mayCross(unknown, start), "a fleet that no data centre holds is served whatever the pipe");
 }
--- a/tests/load_exchange_test.cpp
+++ b/tests/load_exchange_test.cpp
@@ -19,22 +19,22 @@
 
 /// What the network does to datagrams.
 struct NetworkFaults {
-    double loss = 0;              ///< share that is lost
-    double doubled = 0;           ///< share that comes twice
-    milliseconds longestDelay{2}; ///< each is delayed by up to this
+    double loss = 0;          ///< share that is lost
+    double duplicated = 0;    ///< share that comes twice
+    milliseconds maxDelay{2}; ///< each is delayed by up to this
 };
 
 struct SimulatedEntry {
     LoadExchange exchange;
     EntryState state;
     bool isRunning = true;
-    bool isFrozen = false;
-    int side = 0;        ///< entries of different sides do not hear each other
-    bool isDeaf = false; ///< sends and hears nothing
-    TimePoint ticksAt{};
+    bool isPaused = false;
+    int partition = 0;       ///< entries of different sides do not hear each other
+    bool isIsolated = false; ///< sends and hears nothing
+    TimePoint nextTickAt{};
     std::uint64_t bytesSent = 0;
     std::uint64_t messagesSent = 0;
-    std::uint64_t mostTold = 0; ///< bytes of its largest message
+    std::uint64_t largestMessageBytes = 0; ///< bytes of its largest message
 };
 
 struct InFlight {
@@ -95,8 +95,8 @@
         const std::vector<std::string> seeds = {hostOf(0), hostOf(1), hostOf(2)};
         entry.exchange = makeLoadExchange(ref, Incarnation{++m_incarnation}, seeds, m_now);
         entry.isRunning = true;
-        entry.isFrozen = false;
-        entry.ticksAt = m_now + milliseconds(m_random() % 300);
+        entry.isPaused = false;
+        entry.nextTickAt = m_now + milliseconds(m_random() % 300);
     }
 
     void stop(std::size_t index)
@@ -111,8 +111,8 @@
             deliver();
             for (std::size_t i = 0; i < m_entries.size(); ++i) {
                 SimulatedEntry &entry = m_entries[i];
-                if (entry.isRunning && !entry.isFrozen && m_now >= entry.ticksAt) {
-                    entry.ticksAt = m_now + exchangeInterval;
+                if (entry.isRunning && !entry.isPaused && m_now >= entry.nextTickAt) {
+                    entry.nextTickAt = m_now + exchangeInterval;
                     send(i, tick(entry.exchange, entry.state, m_now));
                 }
             }
@@ -124,14 +124,14 @@
     std::function<void()> onStep{};
 
     /// All learn the host of one that runs, as they do from the lease in the store: seeds may be gone for good.
-    void meetAtLease()
+    void contactLeaseHolder()
     {
         for (SimulatedEntry &entry : m_entries) {
             const auto holder = std::find_if(m_entries.begin(), m_entries.end(), [](const SimulatedEntry &other) {
                 return other.isRunning;
             });
             if (entry.isRunning) {
-                noteContact(entry.exchange, holder->exchange.self.host, m_now);
+                addContact(entry.exchange, holder->exchange.self.host, m_now);
             }
         }
     }
@@ -143,24 +143,24 @@
         });
     }
     /// Whether each running entry counts all others.
-    bool isWhole() const
+    bool isConverged() const
     {
         return std::all_of(m_entries.begin(), m_entries.end(), [this](const SimulatedEntry &entry) {
-            return !entry.isRunning || othersOf(entry.exchange, m_now).entries.entries + 1 == running();
+            return !entry.isRunning || peersView(entry.exchange, m_now).entries.entries + 1 == running();
         });
     }
     /// Runs until the fleet is whole and stays so for a second; the time until then, at most a minute.
-    milliseconds timeUntilWhole()
+    milliseconds timeToConverge()
     {
-        constexpr int lookings = 10;
+        constexpr int requiredChecks = 10;
         const TimePoint begin = m_now;
-        TimePoint wholeSince = m_now;
-        for (int wholeInRow = 0; wholeInRow < lookings && m_now - begin < std::chrono::seconds(60);) {
-            wholeInRow = isWhole() ? wholeInRow + 1 : 0;
-            wholeSince = wholeInRow <= 1 ? m_now : wholeSince;
+        TimePoint convergedSince = m_now;
+        for (int convergedInRow = 0; convergedInRow < requiredChecks && m_now - begin < std::chrono::seconds(60);) {
+            convergedInRow = isConverged() ? convergedInRow + 1 : 0;
+            convergedSince = convergedInRow <= 1 ? m_now : convergedSince;
             run(milliseconds(100));
         }
-        return std::chrono::duration_cast<milliseconds>(wholeSince - begin);
+        return std::chrono::duration_cast<milliseconds>(convergedSince - begin);
     }
     std::size_t aggregators() const
     {
@@ -188,20 +188,20 @@
             BOOST_REQUIRE(bytes.size() <= frameHeaderBytes + maxDatagramBytes);
             entry.bytesSent += bytes.size() + udpHeaderBytes;
             entry.messagesSent += 1;
-            entry.mostTold = std::max<std::uint64_t>(entry.mostTold, bytes.size());
+            entry.largestMessageBytes = std::max<std::uint64_t>(entry.largestMessageBytes, bytes.size());
             const auto to = m_byHost.find(out.host);
             if (to != m_byHost.end()) {
-                carry(from, to->second, out);
+                transmit(from, to->second, out);
             }
         }
     }
-    void carry(std::size_t from, std::size_t to, const ExchangeMessage &out)
+    void transmit(std::size_t from, std::size_t to, const ExchangeMessage &out)
     {
-        const bool isCut = m_entries[from].side != m_entries[to].side || m_entries[from].isDeaf || m_entries[to].isDeaf;
+        const bool isCut = m_entries[from].partition != m_entries[to].partition || m_entries[from].isIsolated || m_entries[to].isIsolated;
         std::uniform_real_distribution<double> share(0, 1);
-        const int copies = isCut || share(m_random) < faults.loss ? 0 : share(m_random) < faults.doubled ? 2 : 1;
+        const int copies = isCut || share(m_random) < faults.loss ? 0 : share(m_random) < faults.duplicated ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            const milliseconds delay(1 + m_random() % faults.longestDelay.count());
+            const milliseconds delay(1 + m_random() % faults.maxDelay.count());
             m_inFlight.push({m_now + delay, ++m_order, to, out.message});
         }
     }
@@ -212,25 +212,25 @@
             const InFlight one = m_inFlight.top();
             m_inFlight.pop();
             SimulatedEntry &entry = m_entries[one.to];
-            if (entry.isFrozen) {
+            if (entry.isPaused) {
                 kept.push_back(one);
             } else if (entry.isRunning) {
-                take(one);
+                handle(one);
             }
         }
         for (const InFlight &one : kept) {
             m_inFlight.push({m_now + milliseconds(5), one.order, one.to, one.message});
         }
     }
-    void take(const InFlight &one)
+    void handle(const InFlight &one)
     {
         LoadExchange &exchange = m_entries[one.to].exchange;
         if (const auto *report = std::get_if<EntryReport>(&one.message)) {
-            send(one.to, takeReport(exchange, *report, m_now));
+            send(one.to, handleReport(exchange, *report, m_now));
         } else if (const auto *digest = std::get_if<GroupDigest>(&one.message)) {
-            send(one.to, takeDigest(exchange, *digest, m_now));
+            send(one.to, handleDigest(exchange, *digest, m_now));
         } else {
-            send(one.to, takeSummary(exchange, std::get<GroupSummary>(one.message), m_now));
+            send(one.to, handleSummary(exchange, std::get<GroupSummary>(one.message), m_now));
         }
     }
 
@@ -251,14 +251,14 @@
 const std::vector<FleetSize> sizes = {{4, 3}, {68, 5}, {370, 25}};
 
 /// Load of every entry at the engines near it and a few elsewhere.
-void giveLoads(SimulatedFleet &fleet, int engines, int dataCenters)
+void assignLoads(SimulatedFleet &fleet, int engines, int dataCenters)
 {
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         std::map<std::uint32_t, EngineLoad> loads;
         for (int k = 0; k < 40; ++k) {
-            const bool isNear = k < 30;
+            const bool isLocal = k < 30;
             const auto drawn = static_cast<std::uint32_t>(fleet.random()() % engines);
-            const auto target = isNear ? drawn - drawn % dataCenters + static_cast<std::uint32_t>(i) % dataCenters : drawn;
+            const auto target = isLocal ? drawn - drawn % dataCenters + static_cast<std::uint32_t>(i) % dataCenters : drawn;
             loads[target] = {target, static_cast<std::uint16_t>(1 + fleet.random()() % 5), 0, 40000};
         }
         fleet.at(i).state.loads.clear();
@@ -266,7 +266,7 @@
             fleet.at(i).state.loads.push_back(load);
         }
         for (auto target = static_cast<std::uint32_t>(i) % dataCenters; target < static_cast<std::uint32_t>(engines); target += dataCenters) {
-            fleet.at(i).state.nearTargets.push_back(target);
+            fleet.at(i).state.localTargets.push_back(target);
         }
     }
 }
@@ -280,7 +280,7 @@
     return sum;
 }
 
-constexpr milliseconds findTime{4000}; ///< until all entries that live are known, after a start or the end of a cut
+constexpr milliseconds convergenceTime{4000}; ///< until all entries that live are known, after a start or the end of a cut
 
 } // namespace
 
@@ -291,11 +291,11 @@
 {
     for (const FleetSize &size : sizes) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 1);
-        const milliseconds time = fleet.timeUntilWhole();
-        BOOST_TEST(time <= findTime, size.entries << " entries took " << time.count() << " ms");
+        const milliseconds time = fleet.timeToConverge();
+        BOOST_TEST(time <= convergenceTime, size.entries << " entries took " << time.count() << " ms");
         for (int i = 0; i < 50; ++i) {
             fleet.run(milliseconds(200));
-            BOOST_TEST(fleet.isWhole(), size.entries << " entries, step " << i);
+            BOOST_TEST(fleet.isConverged(), size.entries << " entries, step " << i);
         }
         BOOST_TEST(fleet.aggregators() <= static_cast<std::size_t>(size.dataCenters));
     }
@@ -306,7 +306,7 @@
 {
     for (const FleetSize &size : {sizes[0], sizes[1]}) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 2);
-        giveLoads(fleet, 130, size.dataCenters);
+        assignLoads(fleet, 130, size.dataCenters);
         fleet.run(std::chrono::seconds(8));
         std::uint64_t all = 0;
         for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -314,7 +314,7 @@
         }
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const SimulatedEntry &entry = fleet.at(i);
-            BOOST_TEST(totalOpen(othersOf(entry.exchange, fleet.now()).loads) + totalOpen(entry.state.loads) == all);
+            BOOST_TEST(totalOpen(peersView(entry.exchange, fleet.now()).loads) + totalOpen(entry.state.loads) == all);
         }
     }
 }
@@ -322,11 +322,11 @@
 /// Guards against traffic that grows with the number of entries.
 BOOST_AUTO_TEST_CASE(whatAnEntrySendsIsBounded)
 {
-    constexpr double mostBytesPerSecond = 20000; // of an entry on average
+    constexpr double maxBytesPerSecond = 20000; // of an entry on average
     for (const FleetSize &size : sizes) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 3);
         const int engines = size.entries == 370 ? 3100 : 130;
-        giveLoads(fleet, engines, size.dataCenters);
+        assignLoads(fleet, engines, size.dataCenters);
         fleet.run(std::chrono::seconds(8));
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             fleet.at(i).bytesSent = 0;
@@ -340,10 +340,10 @@
         }
         const double mean = sum / static_cast<double>(fleet.size());
         BOOST_TEST_MESSAGE(size.entries << " entries: " << mean << " bytes/s on average, an aggregator " << most);
-        BOOST_TEST(mean <= mostBytesPerSecond);
+        BOOST_TEST(mean <= maxBytesPerSecond);
         // An aggregator tells each member of its group and each other group as much as one message holds.
-        const double messages = static_cast<double>(maxGroupMembers + groupsAnInterval) * 1000 / exchangeInterval.count();
-        BOOST_TEST(most <= messages * (maxToldLoads * 12 + 1000));
+        const double messages = static_cast<double>(maxGroupMembers + summariesPerInterval) * 1000 / exchangeInterval.count();
+        BOOST_TEST(most <= messages * (maxReportedLoads * 12 + 1000));
     }
 }
 
@@ -356,30 +356,30 @@
         // One entry changes its load at one target all the time; each value tells when it was set.
         constexpr std::uint32_t target = 7;
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            const bool isNear = fleet.at(i).exchange.self.dataCenter == fleet.at(size.dataCenters == 3 ? 0 : 3 * size.dataCenters).exchange.self.dataCenter;
-            fleet.at(i).state.nearTargets = isNear ? std::vector<std::uint32_t>{target} : std::vector<std::uint32_t>{};
+            const bool isLocal = fleet.at(i).exchange.self.dataCenter == fleet.at(size.dataCenters == 3 ? 0 : 3 * size.dataCenters).exchange.self.dataCenter;
+            fleet.at(i).state.localTargets = isLocal ? std::vector<std::uint32_t>{target} : std::vector<std::uint32_t>{};
         }
         const TimePoint begin = fleet.now();
-        const std::size_t teller = size.dataCenters == 3 ? 0 : 3 * size.dataCenters;
-        milliseconds oldestNear{0};
-        milliseconds oldestFar{0};
+        const std::size_t reporter = size.dataCenters == 3 ? 0 : 3 * size.dataCenters;
+        milliseconds oldestLocal{0};
+        milliseconds oldestRemote{0};
         fleet.onStep = [&] {
             const auto value = static_cast<std::uint16_t>((fleet.now() - begin) / milliseconds(1) + 1);
-            fleet.at(teller).state.loads = {{target, value, 0, 1}};
+            fleet.at(reporter).state.loads = {{target, value, 0, 1}};
             for (std::size_t i = 0; i < fleet.size() && value > 1500; ++i) {
-                if (i == teller) {
+                if (i == reporter) {
                     continue;
                 }
-                const OthersView others = othersOf(fleet.at(i).exchange, fleet.now());
+                const PeersView others = peersView(fleet.at(i).exchange, fleet.now());
                 const milliseconds age(others.loads.empty() ? value : value - others.loads.front().openRequests);
-                const bool isNear = fleet.at(i).exchange.self.dataCenter == fleet.at(teller).exchange.self.dataCenter;
-                milliseconds &oldest = isNear ? oldestNear : oldestFar;
+                const bool isLocal = fleet.at(i).exchange.self.dataCenter == fleet.at(reporter).exchange.self.dataCenter;
+                milliseconds &oldest = isLocal ? oldestLocal : oldestRemote;
                 oldest = std::max(oldest, age);
             }
         };
         fleet.run(std::chrono::seconds(6));
-        BOOST_TEST(oldestNear < milliseconds(500), size.entries << " entries: " << oldestNear.count() << " ms in its data centre");
-        BOOST_TEST(oldestFar < milliseconds(1600), size.entries << " entries: " << oldestFar.count() << " ms elsewhere");
+        BOOST_TEST(oldestLocal < milliseconds(500), size.entries << " entries: " << oldestLocal.count() << " ms in its data centre");
+        BOOST_TEST(oldestRemote < milliseconds(1600), size.entries << " entries: " << oldestRemote.count() << " ms elsewhere");
     }
 }
 
@@ -397,8 +397,8 @@
         if (fleet.running() == 0) {
             continue;
         }
-        const milliseconds time = fleet.timeUntilWhole();
-        BOOST_TEST(time <= findTime, size.entries << " entries took " << time.count() << " ms");
+        const milliseconds time = fleet.timeToConverge();
+        BOOST_TEST(time <= convergenceTime, size.entries << " entries took " << time.count() << " ms");
     }
 }
 
@@ -414,7 +414,7 @@
     for (int i = 0; i < 20; ++i) {
         fleet.run(milliseconds(100));
         for (std::size_t k = 0; k < fleet.size(); ++k) {
-            fewest = std::min(fewest, othersOf(fleet.at(k).exchange, fleet.now()).entries.entries);
+            fewest = std::min(fewest, peersView(fleet.at(k).exchange, fleet.now()).entries.entries);
         }
     }
     BOOST_TEST(fewest >= 60U);
@@ -431,7 +431,7 @@
             SimulatedFleet fleet(size.entries, size.dataCenters, 7);
             fleet.run(std::chrono::seconds(8));
             for (std::size_t i = 0; i < fleet.size(); ++i) {
-                fleet.at(i).side = static_cast<int>(i % 2);
+                fleet.at(i).partition = static_cast<int>(i % 2);
             }
             if (!hasSeeds && size.entries > 4) {
                 fleet.stop(0);
@@ -441,12 +441,12 @@
             fleet.run(std::chrono::seconds(8));
             for (std::size_t i = 0; i < fleet.size(); ++i) {
                 const std::size_t most = fleet.size() / 2;
-                BOOST_TEST(othersOf(fleet.at(i).exchange, fleet.now()).entries.entries < most);
-                fleet.at(i).side = 0;
+                BOOST_TEST(peersView(fleet.at(i).exchange, fleet.now()).entries.entries < most);
+                fleet.at(i).partition = 0;
             }
-            const milliseconds time = fleet.timeUntilWhole();
-            constexpr milliseconds meetTime{20000}; // remembered hosts are tried in turn
-            BOOST_TEST(time <= meetTime, size.entries << " entries took " << time.count() << " ms");
+            const milliseconds time = fleet.timeToConverge();
+            constexpr milliseconds mergeTime{20000}; // remembered hosts are tried in turn
+            BOOST_TEST(time <= mergeTime, size.entries << " entries took " << time.count() << " ms");
         }
     }
 }
@@ -455,17 +455,17 @@
 BOOST_AUTO_TEST_CASE(anEntryThatHearsNobodyCountsNobody)
 {
     SimulatedFleet fleet(68, 5, 8);
-    giveLoads(fleet, 130, 5);
+    assignLoads(fleet, 130, 5);
     fleet.run(std::chrono::seconds(8));
-    fleet.at(30).isDeaf = true;
-    fleet.run(exchangeSilence + milliseconds(1000));
-    const OthersView others = othersOf(fleet.at(30).exchange, fleet.now());
+    fleet.at(30).isIsolated = true;
+    fleet.run(exchangeTimeout + milliseconds(1000));
+    const PeersView others = peersView(fleet.at(30).exchange, fleet.now());
     BOOST_TEST(others.entries.entries == 0U);
     BOOST_TEST(others.loads.empty());
-    BOOST_TEST(!others.isFollowed);
-    fleet.at(30).isDeaf = false;
-    const milliseconds time = fleet.timeUntilWhole();
-    BOOST_TEST(time <= findTime, "took " << time.count() << " ms");
+    BOOST_TEST(!others.isAggregatorWatching);
+    fleet.at(30).isIsolated = false;
+    const milliseconds time = fleet.timeToConverge();
+    BOOST_TEST(time <= convergenceTime, "took " << time.count() << " ms");
 }
 
 /// Guards against a mass restart after which entries stay apart.
@@ -477,8 +477,8 @@
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             fleet.start(i);
         }
-        const milliseconds time = fleet.timeUntilWhole();
-        BOOST_TEST(time <= findTime, size.entries << " entries took " << time.count() << " ms");
+        const milliseconds time = fleet.timeToConverge();
+        BOOST_TEST(time <= convergenceTime, size.entries << " entries took " << time.count() << " ms");
     }
 }
 
@@ -496,13 +496,13 @@
         EntryReport older = newest;
         older.loads = {{99, 50, 0, 1}};
         older.sequence = newest.sequence - 1;
-        takeReport(exchange, older, fleet.now());
+        handleReport(exchange, older, fleet.now());
         older.sequence = newest.sequence + 5;
         older.incarnation.value = newest.incarnation.value - 1;
-        takeReport(exchange, older, fleet.now());
+        handleReport(exchange, older, fleet.now());
         BOOST_TEST(!exchange.loads.contains(99));
         older.incarnation = newest.incarnation;
-        takeReport(exchange, older, fleet.now());
+        handleReport(exchange, older, fleet.now());
         BOOST_TEST(exchange.loads.contains(99));
     }
 }
@@ -519,7 +519,7 @@
     for (unsigned seed = first; seed <= last; ++seed) {
         const FleetSize size = seed % 10 == 0 ? sizes[2] : seed % 2 == 0 ? sizes[1] : FleetSize{9, 3};
         SimulatedFleet fleet(size.entries, size.dataCenters, seed);
-        giveLoads(fleet, 130, size.dataCenters);
+        assignLoads(fleet, 130, size.dataCenters);
         fleet.run(std::chrono::seconds(4));
         for (int fault = 0; fault < 8; ++fault) {
             const std::size_t from = fleet.random()() % fleet.size();
@@ -533,22 +533,22 @@
                 } else if (kind == 1) {
                     fleet.start((from + k) % fleet.size());
                 } else if (kind == 2) {
-                    entry.side = 1;
+                    entry.partition = 1;
                 } else if (kind == 3) {
-                    entry.isFrozen = true;
+                    entry.isPaused = true;
                 } else if (kind == 4) {
-                    entry.isDeaf = true;
+                    entry.isIsolated = true;
                 } else {
                     fleet.faults = {0.3, 0.2, milliseconds(400)};
                 }
             }
             fleet.run(milliseconds(300 + fleet.random()() % 3000));
             for (std::size_t k = 0; k < fleet.size(); ++k) {
-                fleet.at(k).side = 0;
-                fleet.at(k).isDeaf = false;
-                fleet.at(k).isFrozen = false;
+                fleet.at(k).partition = 0;
+                fleet.at(k).isIsolated = false;
+                fleet.at(k).isPaused = false;
             }
-            fleet.meetAtLease();
+            fleet.contactLeaseHolder();
             if (fault % 3 == 2) {
                 for (std::size_t k = 0; k < fleet.size(); ++k) {
                     if (!fleet.at(k).isRunning) {
@@ -558,11 +558,11 @@
             }
         }
         fleet.faults = {};
-        fleet.meetAtLease();
-        const milliseconds time = fleet.timeUntilWhole();
+        fleet.contactLeaseHolder();
+        const milliseconds time = fleet.timeToConverge();
         BOOST_TEST(time <= std::chrono::seconds(15), "seed " << seed << " took " << time.count() << " ms");
         fleet.run(std::chrono::seconds(2));
-        BOOST_TEST(fleet.isWhole(), "seed " << seed);
+        BOOST_TEST(fleet.isConverged(), "seed " << seed);
     }
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -349,8 +349,8 @@
         RetryBudget budget;
         std::uint32_t retries = 0;
         for (std::uint32_t i = 0; i < requests; ++i) {
-            noteRequest(budget);
-            while (tryRetry(budget)) {
+            recordRequest(budget);
+            while (tryConsumeRetry(budget)) {
                 ++retries;
             }
         }
@@ -382,10 +382,10 @@
 
 BOOST_AUTO_TEST_CASE(a_rate_is_kept)
 {
-    RateBudget budget{10, 5, 0, {}};
+    TokenBucket budget{10, 5, 0, {}};
     int taken = 0;
     for (int ms = 0; ms < 10000; ++ms) {
-        taken += tryTake(budget, start + milliseconds(ms)) ? 1 : 0;
+        taken += tryConsume(budget, start + milliseconds(ms)) ? 1 : 0;
     }
     BOOST_TEST(taken >= 100);
     BOOST_TEST(taken <= 106);
--- a/tests/shared_budget_test.cpp
+++ b/tests/shared_budget_test.cpp
@@ -17,10 +17,10 @@
 
 /// Entries whose requests all fail, so that each takes every repeat that it may.
 struct FailingFleet {
-    FailingFleet(int entries, const SharedBudgetTerms &budgetTerms)
-        : terms(budgetTerms)
+    FailingFleet(int entries, const SharedBudgetLimits &budgetLimits)
+        : limits(budgetLimits)
         , counts(entries)
-        , budgets(entries, makeRetryPart(budgetTerms, assumedEntries))
+        , budgets(entries, makeRetryBudget(budgetLimits, assumedEntries))
     {
     }
 
@@ -28,37 +28,37 @@
     {
         for (std::size_t i = 0; i < counts.size(); ++i) {
             counts[i] = EntryCount{true, now, 0};
-            budgets[i] = makeRetryPart(terms, entriesToShareWith(counts[i], now));
+            budgets[i] = makeRetryBudget(limits, entriesToShareWith(counts[i], now));
             isGranted.assign(counts.size(), false);
         }
     }
 
     /// One step of all entries, each of which hears `heard` others.
-    void run(milliseconds time, int heard)
+    void run(milliseconds time, int peersSeen)
     {
         for (const TimePoint end = now + time; now < end; now += step) {
             int spent = 0;
             for (std::size_t i = 0; i < counts.size(); ++i) {
-                spent += runEntry(i, heard);
+                spent += runEntry(i, peersSeen);
             }
             spentPerStep.push_back(spent);
         }
     }
 
-    int runEntry(std::size_t i, int heard)
+    int runEntry(std::size_t i, int peersSeen)
     {
-        counts[i].mostHeard = std::max(counts[i].mostHeard, heard);
-        resizeRetryPart(budgets[i], terms, entriesToShareWith(counts[i], now));
-        if (!isGranted[i] && now - counts[i].startedAt >= terms.window) {
+        counts[i].mostPeersSeen = std::max(counts[i].mostPeersSeen, peersSeen);
+        resizeRetryBudget(budgets[i], limits, entriesToShareWith(counts[i], now));
+        if (!isGranted[i] && now - counts[i].startedAt >= limits.window) {
             isGranted[i] = true;
-            grantRetryPart(budgets[i]);
+            grantRetryBurst(budgets[i]);
         }
         earned[i] += requestsPerSecond * step.count() / 1000;
         for (; earned[i] >= 1; earned[i] -= 1) {
-            noteRequest(budgets[i]);
+            recordRequest(budgets[i]);
         }
         int spent = 0;
-        while (tryRetry(budgets[i])) {
+        while (tryConsumeRetry(budgets[i])) {
             ++spent;
         }
         return spent;
@@ -67,7 +67,7 @@
     /// Most repeats in any window.
     int mostInWindow() const
     {
-        const auto steps = static_cast<std::size_t>(milliseconds(terms.window) / step);
+        const auto steps = static_cast<std::size_t>(milliseconds(limits.window) / step);
         int most = 0;
         for (std::size_t from = 0; from + steps <= spentPerStep.size(); ++from) {
             int sum = 0;
@@ -81,10 +81,10 @@
 
     double allowed() const
     {
-        return terms.burst + terms.share * requestsPerSecond * static_cast<double>(terms.window.count()) * static_cast<double>(counts.size());
+        return limits.burst + limits.share * requestsPerSecond * static_cast<double>(limits.window.count()) * static_cast<double>(counts.size());
     }
 
-    SharedBudgetTerms terms;
+    SharedBudgetLimits limits;
     TimePoint now{std::chrono::hours(1)};
     std::vector<EntryCount> counts;
     std::vector<RetryBudget> budgets;
@@ -93,7 +93,7 @@
     std::vector<int> spentPerStep{};
 };
 
-const SharedBudgetTerms hundredsOfEntries{0.2, 320, std::chrono::seconds(10)};
+const SharedBudgetLimits hundredsOfEntries{0.2, 320, std::chrono::seconds(10)};
 
 } // namespace
 
@@ -139,21 +139,21 @@
 /// Guards against parts below one repeat, which could never be used.
 BOOST_AUTO_TEST_CASE(aPartOfASmallBudgetCanStillBeUsed)
 {
-    RetryBudget budget = makeRetryPart({0.2, 10, std::chrono::seconds(10)}, 370);
-    BOOST_TEST(tryRetry(budget));
-    BOOST_TEST(!tryRetry(budget));
+    RetryBudget budget = makeRetryBudget({0.2, 10, std::chrono::seconds(10)}, 370);
+    BOOST_TEST(tryConsumeRetry(budget));
+    BOOST_TEST(!tryConsumeRetry(budget));
     for (int i = 0; i < 6; ++i) {
-        noteRequest(budget);
+        recordRequest(budget);
     }
-    BOOST_TEST(tryRetry(budget));
+    BOOST_TEST(tryConsumeRetry(budget));
 }
 
 /// Guards against a repeat where the operator allows none.
 BOOST_AUTO_TEST_CASE(whereNoRepeatIsAllowedNoneIsTaken)
 {
-    RetryBudget budget = makeRetryPart({0, 0, std::chrono::seconds(10)}, 4);
-    grantRetryPart(budget);
-    BOOST_TEST(!tryRetry(budget));
+    RetryBudget budget = makeRetryBudget({0, 0, std::chrono::seconds(10)}, 4);
+    grantRetryBurst(budget);
+    BOOST_TEST(!tryConsumeRetry(budget));
 }
 
 BOOST_AUTO_TEST_CASE(anEntryThatHasNoPeersNeedNotShare)
