--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,8 +6,8 @@
 namespace Parsleytrail
 {
 
-constexpr double minUtilization = 0.8;   ///< the limit grows only while this much of it is in use
-constexpr std::uint32_t minSamples = 20; ///< in a window, to judge by
+constexpr double minUtilization = 0.8;   ///< the limit grows only while this share of it is in use
+constexpr std::uint32_t minSamples = 20; ///< needed to change the limit; a window with fewer continues
 
 void recordLatency(AdmissionLimit &admission, double seconds, double targetSeconds, std::size_t running, TimePoint now)
 {
@@ -22,7 +22,7 @@
     const bool isOverloaded = admission.misses > admission.allowedMissRatio * admission.samples;
     const bool isUtilized = static_cast<double>(running) >= minUtilization * admission.limit;
     if (isOverloaded) {
-        // From what runs, not from a limit that was never reached.
+        // Decreases from the number of running streams, as the limit itself may never have been reached.
         admission.limit = std::min(admission.limit, static_cast<double>(running)) * admission.decrease;
     } else if (isUtilized) {
         admission.limit += admission.increase + 0.02 * admission.limit;
@@ -53,7 +53,7 @@
     ledger.startedCost[request.workspace] += request.cost;
 }
 
-/// Order within a workspace.
+/// Order of start within a workspace.
 static bool hasPriority(const WaitingRequest &a, const WaitingRequest &b)
 {
     const double worthA = a.worth / std::max(a.cost, 1.0);
@@ -63,7 +63,7 @@
 
 std::size_t selectNext(const std::vector<WaitingRequest> &waiting, const FairShareLedger &ledger, TimePoint now)
 {
-    std::map<WorkspaceName, std::size_t> best; // of each workspace
+    std::map<WorkspaceName, std::size_t> best; // request to start first, by workspace
     for (std::size_t i = 0; i < waiting.size(); ++i) {
         if (now >= waiting[i].startBy) {
             continue;
@@ -77,7 +77,7 @@
     double lowestCost = 0;
     for (const auto &[workspace, index] : best) {
         const auto it = ledger.startedCost.find(workspace);
-        // A workspace whose answers are worth more may be given more.
+        // Weighted, so that a workspace whose responses are worth more may start more.
         const double weightedCost = (it == ledger.startedCost.end() ? 0 : it->second) / std::max(waiting[index].worth, 1e-6);
         if (chosen == waiting.size() || weightedCost < lowestCost) {
             chosen = index;
--- a/src/policy/budget.h
+++ b/src/policy/budget.h
@@ -1,6 +1,6 @@
-// Budgets: a token bucket for rates, and a retry budget that is a share of the requests.
+// Budgets: a token bucket that limits a rate, and a retry budget that limits retries to a share of the requests.
 //
-// Pure: the caller passes the time in.
+// Pure functions: the caller passes the time in.
 #pragma once
 
 #include "base/clock.h"
@@ -8,30 +8,31 @@
 namespace Parsleytrail
 {
 
-/// Token bucket.
+/// Token bucket that limits the rate of an operation.
 struct TokenBucket {
-    double perSecond = 0; ///< refill rate
-    double burst = 0;     ///< most tokens held
+    double perSecond = 0; ///< tokens added in a second
+    double burst = 0;     ///< capacity in tokens
 
-    double tokens = 0;        ///< held now; starts at burst after the first call
-    TimePoint lastRefillAt{}; ///< time of the last refill; zero: never
+    double tokens = 0;        ///< tokens held now; the first refill sets them to burst
+    TimePoint lastRefillAt{}; ///< time of the last refill; zero: none yet
 };
-/// Adds what has come since the last refill.
+/// Adds the tokens earned since the last refill.
 void refill(TokenBucket &bucket, TimePoint now);
-/// Takes one token; false if there is none.
+/// Consumes one token; false if there is none.
 bool tryConsume(TokenBucket &bucket, TimePoint now);
 
-/// New attempts allowed as a share of requests.
+/// Limits retries to a share of the requests.
 ///
-/// A fault that fails every request would otherwise double the load just when capacity is short; with the budget the
-/// extra load is at most `share` of the load, whatever fails.
+/// Without it, a fault that fails every request would double the load just when capacity is short. With it, the extra load is
+/// at most `share` of the load, whatever fails.
 struct RetryBudget {
-    double share = 0.2;    ///< attempts earned by each request
-    double burst = 20;     ///< most attempts saved up
-    double available = 20; ///< attempts that may be made now
+    double share = 0.2;    ///< retries earned by each request
+    double burst = 20;     ///< most retries that can be saved up
+    double available = 20; ///< retries allowed now
 };
+/// Adds what one request earns.
 void recordRequest(RetryBudget &budget);
-/// Takes one attempt; false if the budget is spent.
+/// Consumes one retry; false if the budget is spent.
 bool tryConsumeRetry(RetryBudget &budget);
 
 } // namespace Parsleytrail
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Ranks, [SECTION] What is told, [SECTION] Membership, [SECTION] Tick, [SECTION] Messages taken
+// Index: [SECTION] Ranking, [SECTION] Content of messages, [SECTION] Membership, [SECTION] Tick, [SECTION] Received messages
 #include "policy/load_exchange.h"
 
 #include "policy/progress.h"
@@ -9,15 +9,16 @@
 namespace Parsleytrail
 {
 
-// [SECTION] Ranks
+// [SECTION] Ranking
 
-/// Whether `a` is the better aggregator. All entries rank alike, so that they choose the same one.
+/// Whether `a` is the better aggregator. All entries use the same order, so that they select the same one.
 static bool isBetter(const EntryRef &a, const EntryRef &b)
 {
     return a.capacity != b.capacity ? a.capacity > b.capacity : a.entry < b.entry;
 }
 
-/// A group is handed to a member only if that has clearly more processor time: each change costs news of some hundred ms.
+/// Whether `a` has over 1.5 times the processor time of `b`. A smaller difference is no reason to hand a group over to a
+/// member: each change of the aggregator interrupts load updates for some hundred milliseconds.
 static bool isMuchBetter(const EntryRef &a, const EntryRef &b)
 {
     return a.capacity > b.capacity + b.capacity / 2;
@@ -55,13 +56,14 @@
     return exchange.digest.receivedAt != TimePoint() && now - exchange.digest.receivedAt < exchangeTimeout;
 }
 
-/// Whether the members and groups of a new aggregator have not all spoken yet: what it knew as a member counts on.
+/// Whether the members and groups of a new aggregator may not all have reported yet. Until then the digest that it received
+/// as a member is used.
 static bool isTakingOver(const LoadExchange &exchange, TimePoint now)
 {
     return isAggregator(exchange) && hasRecentDigest(exchange, now) && now - exchange.aggregatorSince < takeoverTime;
 }
 
-/// Whether it looks for a group after its start.
+/// Whether this entry looks for a group to join after its start.
 static bool isJoining(const LoadExchange &exchange, TimePoint now)
 {
     return exchange.members.empty() && now - exchange.startedAt < joinTime;
@@ -72,7 +74,7 @@
     return summary.group.entries;
 }
 
-/// The group of a data centre to join: of those with room the best. Null if none is known.
+/// Aggregator of the group to join in a data centre: the best one whose group has a free slot. Null if none is known.
 static const EntryRef *groupToJoin(const LoadExchange &exchange, const std::string &dataCenter, TimePoint now)
 {
     const EntryRef *best = nullptr;
@@ -87,7 +89,7 @@
     return best;
 }
 
-/// The member that takes over when this entry stops or falls silent.
+/// The member that becomes the aggregator when this entry stops or times out; no id: none.
 static EntryRef standbyAggregator(const LoadExchange &exchange)
 {
     EntryRef best;
@@ -100,7 +102,7 @@
     return best;
 }
 
-// [SECTION] What is told
+// [SECTION] Content of messages
 
 static EntriesView groupView(const LoadExchange &exchange)
 {
@@ -112,7 +114,7 @@
     return view;
 }
 
-/// All entries but one: this entry too, unless it is the one left out.
+/// All entries except one. Includes this entry, unless it is the one left out.
 static EntriesView viewWithout(const LoadExchange &exchange, const EntryId &leftOut)
 {
     EntriesView view;
@@ -145,8 +147,8 @@
     return {{host, makeDigest(exchange, aggregator)}};
 }
 
-/// Names aggregators that this one hears itself, others each time. What others told is not passed on: entries that are gone
-/// would be spoken of for ever.
+/// Other aggregators to name in a message, in rotation. Only those that this entry receives from itself: if aggregators named
+/// by others were passed on, removed entries would be named forever.
 static std::vector<EntryRef> nextAggregators(LoadExchange &exchange, std::size_t limit)
 {
     std::vector<EntryRef> refs;
@@ -160,7 +162,7 @@
     return refs;
 }
 
-/// Whether a digest tells of a target.
+/// Whether a digest covers a target: it covers all of this entry's data centre, and one slice of the others.
 static bool includesTarget(const LoadExchange &exchange, const GroupDigest &digest, std::uint32_t target)
 {
     const bool isLocalTarget = std::binary_search(exchange.localTargets.begin(), exchange.localTargets.end(), target);
@@ -178,7 +180,7 @@
     return included;
 }
 
-/// Takes the loads of a digest for those that it tells of.
+/// Replaces the loads of the targets that a digest covers. A full list may lack some of them, so their loads are kept.
 static void applyLoads(LoadExchange &exchange, const GroupDigest &digest)
 {
     const bool isFull = digest.loads.size() >= maxReportedLoads;
@@ -190,7 +192,7 @@
     }
 }
 
-/// The answer to a member.
+/// The response to a member's report.
 static GroupDigest digestFor(LoadExchange &exchange, const EntryReport &report, TimePoint now)
 {
     GroupDigest digest = makeDigest(exchange, exchange.self);
@@ -297,11 +299,11 @@
     }
 }
 
-/// Reports to another entry from now on; its members are told so with their next reports.
+/// Reports to another entry from now on. Members are redirected to it when they report next.
 static void followAggregator(LoadExchange &exchange, const EntryRef &aggregator, TimePoint now)
 {
     if (isAggregator(exchange) && !isTakingOver(exchange, now)) {
-        // Until the first answer comes, what was known counts on.
+        // The current view is used until the first digest arrives.
         GroupDigest known;
         known.others = viewWithout(exchange, exchange.self.entry);
         exchange.digest = {known, now};
@@ -326,7 +328,8 @@
     }
 }
 
-/// What others sent while this process stood still waits to be read: taken for gone, their load would not be counted.
+/// Excludes the time while the process was paused or its loop was blocked from all timeouts. What others sent meanwhile has
+/// not been read yet; if they timed out, their load would not be counted.
 static void creditStalls(LoadExchange &exchange, TimePoint now)
 {
     const milliseconds stall = stallBefore(exchange.lastTickAt, now, exchangeInterval);
@@ -358,7 +361,7 @@
     for (const EntryId &id : expiredIds(exchange.members, exchangeTimeout, now)) {
         dropMember(exchange, id);
     }
-    // Each of many groups is spoken to more rarely.
+    // With many groups, summaries between each two of them are less frequent.
     const milliseconds groupTimeout = exchangeTimeout + exchangeInterval * (exchange.groups.size() / summariesPerInterval);
     for (const EntryId &id : expiredIds(exchange.groups, groupTimeout, now)) {
         dropGroup(exchange, id);
@@ -377,7 +380,8 @@
     });
 }
 
-/// Leaves an aggregator that does not answer: for its deputy, whom all its members know, or else this entry collects itself.
+/// Leaves an aggregator that does not respond. Follows its standby aggregator, which its digests name to all members, or becomes
+/// an aggregator itself if there is none to follow.
 static void leaveUnresponsiveAggregator(LoadExchange &exchange, TimePoint now)
 {
     if (isAggregator(exchange) || now - exchange.lastResponseAt <= aggregatorTimeout) {
@@ -393,7 +397,7 @@
     becomeAggregator(exchange, now);
 }
 
-/// Joins a better group of the same data centre, or hands the group to a member.
+/// Joins a better group of the same data centre, or hands the group over to a member with much more processor time.
 static void chooseAggregator(LoadExchange &exchange, TimePoint now)
 {
     if (!isAggregator(exchange)) {
@@ -412,7 +416,7 @@
 
 // [SECTION] Tick
 
-/// The next of the hosts that were heard of before and are not heard now.
+/// The next of the seeds and known hosts that are neither a member nor the aggregator of a known group; empty if none.
 static std::string nextHostToProbe(LoadExchange &exchange)
 {
     std::vector<std::string> hosts = exchange.seeds;
@@ -436,7 +440,8 @@
     return exchange.lastProbedHost;
 }
 
-/// Hosts of the aggregators to speak to this time: groups in turn, those that others told of, and one of before.
+/// Hosts to send a summary to in this tick: aggregators of known groups in rotation, contacts, and at times one known host to
+/// probe.
 static std::set<std::string> summaryReceivers(LoadExchange &exchange, TimePoint now)
 {
     std::vector<Received<GroupSummary> *> groups;
@@ -509,7 +514,7 @@
     return messages;
 }
 
-// [SECTION] Messages taken
+// [SECTION] Received messages
 
 void addContact(LoadExchange &exchange, const std::string &host, TimePoint now)
 {
@@ -519,7 +524,8 @@
     }
 }
 
-/// The best aggregator for an entry of another data centre: of its group there, or of those that look for one too.
+/// The best aggregator for an entry of another data centre: that of a group there, else the best entry there that looks for a
+/// group too, which may be the candidate itself.
 static EntryRef remoteAggregatorFor(const LoadExchange &exchange, const EntryRef &candidate, TimePoint now)
 {
     if (const EntryRef *group = groupToJoin(exchange, candidate.dataCenter, now)) {
@@ -538,7 +544,8 @@
     }
 }
 
-/// A better group of the sender's data centre that both fit into; null if this entry hears of none.
+/// Aggregator of a better group in the sender's data centre that has enough free slots for the sender's group; null if none
+/// is known.
 static const EntryRef *groupToMergeInto(const LoadExchange &exchange, const GroupSummary &summary, TimePoint now)
 {
     const EntryRef *better = groupToJoin(exchange, summary.sender.dataCenter, now);
@@ -576,7 +583,8 @@
         return {};
     }
     if (report.sender.entry == exchange.aggregator.entry) {
-        // It hands its group over. One that stops is not to be followed again when others still name it.
+        // The aggregator hands its group over to this entry. One that is stopping is not followed again while others still
+        // name it.
         if (report.sender.capacity == 0) {
             exchange.unresponsiveUntil[report.sender.host] = now + aggregatorRetryDelay;
         }
@@ -592,7 +600,8 @@
     return redirect(exchange, report.sender.host, remoteAggregatorFor(exchange, report.sender, now));
 }
 
-/// A group whose aggregator reports to another of its data centre is part of that one's group now: counted twice otherwise.
+/// Removes a group whose aggregator now reports to another one of its data centre: it is part of that group, and would be
+/// counted twice.
 static void dropGroupThatJoinedAnother(LoadExchange &exchange, const GroupDigest &digest)
 {
     const auto group = exchange.groups.find(digest.sender.entry);
@@ -602,7 +611,7 @@
     }
 }
 
-/// Follows who was named, if that ends a search or improves the group; else gets to know it.
+/// Follows an aggregator named by another entry if this one is joining or ranks lower; otherwise adds it to the contacts.
 static void handleNamedAggregator(LoadExchange &exchange, const EntryRef &named, TimePoint now)
 {
     if (named.entry.isEmpty() || isOwn(exchange, named) || isUnresponsive(exchange, named.host, now)) {
@@ -624,7 +633,7 @@
     }
     const bool isAccepted = digest.aggregator.entry == digest.sender.entry;
     if (isAggregator(exchange)) {
-        // It looks for a group, or tries a host of before.
+        // The response to a report sent to a seed while joining, or to a summary.
         dropGroupThatJoinedAnother(exchange, digest);
         handleNamedAggregator(exchange, digest.aggregator, now);
         return {};
--- a/src/policy/load_exchange.h
+++ b/src/policy/load_exchange.h
@@ -1,17 +1,19 @@
-// How entries tell each other what they have open where, at a cost that does not grow with the number of entries.
+// Load exchange between entries: which requests are open at which target, at a cost for each entry that does not grow with
+// the number of entries.
 //
-// Entries of one data centre form groups. Each member reports to the group's aggregator, which answers with what all others
-// have together; aggregators tell each other what their groups have together. Who aggregates need not be agreed on: an entry
-// that is reported to either takes the report or names another. Two groups of one data centre that hear of each other
-// become one if they fit. Seeds of the settings, and hosts heard of before, are tried in turn, so that a new entry finds the
-// others and halves of a cut fleet find each other again.
+// Entries of one data centre form groups. Each member sends reports to the aggregator of its group, which responds with a
+// digest: the sums over all other entries. Aggregators send each other summaries of their groups. Entries need not agree on
+// who aggregates: one that receives a report either accepts it or redirects the sender to another entry. Two groups of one
+// data centre that receive messages from each other merge if they fit into one. Seeds from the settings and hosts known from
+// earlier messages are probed in turn, so that a new entry finds the others and the halves of a partitioned fleet find each
+// other again.
 //
 //     LoadExchange exchange = makeLoadExchange(self, incarnation, seeds, now);
 //     send(tick(exchange, state, now));                  // every exchangeInterval
-//     send(takeReport(exchange, report, now));           // and takeDigest(), takeSummary()
-//     const OthersView others = othersOf(exchange);
+//     send(handleReport(exchange, report, now));         // and handleDigest(), handleSummary()
+//     const PeersView others = peersView(exchange, now);
 //
-// Pure: messages, state and time come in, messages go out.
+// Pure functions: messages, state and time are passed in, messages to send are returned.
 #pragma once
 
 #include "base/clock.h"
@@ -25,109 +27,113 @@
 namespace Parsleytrail
 {
 
-/// Between reports. All entries of a data centre choose by the same news: with old news they all choose the same engines.
+/// Interval between messages. All entries of a data centre select engines by the same loads: with outdated loads they all
+/// select the same engines.
 constexpr milliseconds exchangeInterval{100};
-/// With more targets than this in a data centre, reports are as much rarer as its list is longer.
+/// Messages are sent every 1 + n / localTargetsPerInterval intervals, where n is the number of targets in the data centre:
+/// the longer the list of loads, the less often it is sent.
 constexpr std::size_t localTargetsPerInterval = 64;
-/// News of other data centres is told in turns: requests go there only if their own has no room.
+/// Slices of the targets of other data centres; each digest covers one slice, in rotation. Their loads may be older, as
+/// requests go there only if their own data centre has no free capacity.
 constexpr std::uint32_t remoteSlices = 4;
-/// An aggregator that did not answer for this long is left: three reports or answers lost in a row.
+/// An aggregator that has not responded for this long is replaced: three reports or responses lost in a row.
 constexpr milliseconds aggregatorTimeout{700};
-/// It is not tried again before: time to come back or to be replaced.
+/// An aggregator that did not respond is not tried again for this long, so that it can restart or be replaced.
 constexpr milliseconds aggregatorRetryDelay{3000};
-/// A member or group not heard of for this long is gone: several datagrams lost in a row.
+/// A member or group is removed if nothing was received from it for this long: several datagrams lost in a row.
 constexpr milliseconds exchangeTimeout{1500};
-constexpr std::size_t maxGroupMembers = 24;      ///< bounds what an aggregator sends
-constexpr std::size_t maxReportedLoads = 160;    ///< of one message: a datagram of 2 KB
-constexpr std::size_t maxGroups = 64;            ///< aggregators that one hears
-constexpr std::size_t maxSummaryAggregators = 8; ///< of one message to another group; others the next time
-constexpr std::size_t maxDigestAggregators = 2;  ///< the same, to a member
-/// Messages to other groups are rarer if there are more groups: this many are sent an interval, to those told longest ago.
+constexpr std::size_t maxGroupMembers = 24;      ///< bounds the traffic of an aggregator
+constexpr std::size_t maxReportedLoads = 160;    ///< in one message, which keeps datagrams to 2 KB
+constexpr std::size_t maxGroups = 64;            ///< other groups that an aggregator keeps; also bounds contacts and join candidates
+constexpr std::size_t maxSummaryAggregators = 8; ///< named in a summary, in rotation
+constexpr std::size_t maxDigestAggregators = 2;  ///< named in a digest, in rotation
+/// Summaries sent in an interval, to the groups sent to longest ago. With more groups than this each gets them less often.
 constexpr std::size_t summariesPerInterval = 8;
-/// Hosts that are tried in turn after they fell silent, and for how long.
+/// Known hosts that are probed in turn after they timed out: how many are kept, and for how long.
 constexpr std::size_t maxKnownHosts = 32;
 constexpr std::chrono::minutes knownHostExpiry{10};
-/// A new aggregator speaks at once to the hosts heard of in this time.
+/// A new aggregator sends at once to the known hosts that sent or were named within this time.
 constexpr milliseconds recentHostAge{10000};
-/// What an aggregator knew before it became one counts this long: its members have all reported by then.
+/// For this long a new aggregator uses the digest that it received as a member: by then all its members have reported.
 constexpr milliseconds takeoverTime{1200};
-/// After a start the seeds are asked for the group to join this often, then as hosts that are remembered.
+/// For this long after a start an entry without members reports to the seeds each time that it sends, to find a group to
+/// join. After that the seeds are probed like known hosts.
 constexpr milliseconds joinTime{2000};
 
-/// What an entry tells of itself.
+/// What an entry reports of itself.
 struct EntryState {
-    bool isStoreLost = false;                ///< the store does not answer it
-    bool isDraining = false;                 ///< it is stopping
-    bool isOrdering = false;                 ///< it gives engines orders
-    bool isWatching = false;                 ///< it follows the tables of the store itself
-    std::uint64_t configurationChange = 0;   ///< newest change of the configuration table that it knows
-    std::uint64_t targetsChange = 0;         ///< the same of the target table
-    std::vector<EngineLoad> loads;           ///< targets with load of it, or avoided by it
-    std::vector<std::uint32_t> localTargets; ///< keys of all targets of its data centre, ascending
+    bool isStoreLost = false;                ///< the store does not respond to it
+    bool isDraining = false;                 ///< it is stopping; its capacity is reported as 0
+    bool isOrdering = false;                 ///< it sends placement orders to engines
+    bool isWatching = false;                 ///< it watches the tables of the store itself
+    std::uint64_t configurationChange = 0;   ///< newest change of the configuration table that it has
+    std::uint64_t targetsChange = 0;         ///< newest change of the target table that it has
+    std::vector<EngineLoad> loads;           ///< targets at which it has load, or which it avoids
+    std::vector<std::uint32_t> localTargets; ///< keys (loadKey()) of all targets of its data centre, ascending
 };
 
-/// A message to be sent.
+/// A message to send.
 struct ExchangeMessage {
-    std::string host;                                             ///< receiver
-    std::variant<EntryReport, GroupDigest, GroupSummary> message; ///< what to send
+    std::string host;                                             ///< host of the receiver
+    std::variant<EntryReport, GroupDigest, GroupSummary> message; ///< its content
 };
 using ExchangeMessages = std::vector<ExchangeMessage>;
 
-/// Newest message of another entry.
+/// Newest message of another entry, or of its group.
 template<typename Message>
 struct Received {
-    Message last;           ///< message
-    TimePoint receivedAt{}; ///< when it came
-    TimePoint sentAt{};     ///< when it was last sent something, of groups
+    Message last;           ///< newest by incarnation and sequence
+    TimePoint receivedAt{}; ///< when it arrived
+    TimePoint sentAt{};     ///< groups only: when a summary was last sent to it
 };
 
-/// State of one entry.
+/// State of the exchange in one entry.
 struct LoadExchange {
     EntryRef self;                                            ///< this entry
-    Incarnation incarnation;                                  ///< its start
-    std::vector<std::string> seeds;                           ///< hosts of the settings
-    TimePoint startedAt{};                                    ///< of this process
-    TimePoint lastTickAt{};                                   ///< of the last tick
-    std::uint64_t ticks = 0;                                  ///< so far
-    std::uint64_t sequence = 0;                               ///< of the last message
-    EntryReport ownReport;                                    ///< what this entry would report
+    Incarnation incarnation;                                  ///< of this process
+    std::vector<std::string> seeds;                           ///< hosts from the settings
+    TimePoint startedAt{};                                    ///< start of this process
+    TimePoint lastTickAt{};                                   ///< time of the last tick
+    std::uint64_t ticks = 0;                                  ///< ticks so far
+    std::uint64_t sequence = 0;                               ///< of the last message sent
+    EntryReport ownReport;                                    ///< report of this entry, without its sequence
     bool isWatching = false;                                  ///< see EntryState
-    EntryRef aggregator;                                      ///< reported to; no id: this entry aggregates its group
-    TimePoint lastResponseAt{};                               ///< when it last answered, or was chosen
-    TimePoint aggregatorSince{};                              ///< when this entry began to aggregate its group
+    EntryRef aggregator;                                      ///< receives the reports; no id: this entry is an aggregator
+    TimePoint lastResponseAt{};                               ///< when the aggregator last responded, or was selected
+    TimePoint aggregatorSince{};                              ///< when this entry became an aggregator
     std::vector<std::uint32_t> localTargets;                  ///< see EntryState
-    Received<GroupDigest> digest;                             ///< its last answer
-    LoadTable digestLoads;                                    ///< what digests told of the others
-    std::map<EntryId, Received<EntryReport>> members;         ///< of the own group, if this entry aggregates it
+    Received<GroupDigest> digest;                             ///< last one from an aggregator, or the own view before following one
+    LoadTable digestLoads;                                    ///< loads of all others, from digests
+    std::map<EntryId, Received<EntryReport>> members;         ///< of the own group, if this entry is its aggregator
     std::map<EntryId, Received<GroupSummary>> groups;         ///< other groups
-    LoadTable loads;                                          ///< of members and groups
-    std::map<std::string, Received<EntryRef>> joinCandidates; ///< by data centre: the best of the entries that looked for a group
-    std::map<std::string, TimePoint> contacts;                ///< aggregators that others told of, and when
-    std::map<std::string, TimePoint> knownHosts;              ///< hosts heard of before, and when last
-    std::map<std::string, TimePoint> unresponsiveUntil;       ///< aggregators that did not answer, and until when they are not tried
-    std::string lastProbedHost;                               ///< host of `remembered` that was tried last
-    EntryId lastNamedAggregator;                              ///< aggregator that was named last
+    LoadTable loads;                                          ///< sums over members and groups
+    std::map<std::string, Received<EntryRef>> joinCandidates; ///< by data centre: best aggregator among entries that look for a group
+    std::map<std::string, TimePoint> contacts;                ///< hosts of possible aggregators, and when each was added
+    std::map<std::string, TimePoint> knownHosts;              ///< hosts of other entries, and when each last sent or was named
+    std::map<std::string, TimePoint> unresponsiveUntil;       ///< hosts of aggregators that timed out or are stopping: not tried before
+    std::string lastProbedHost;                               ///< seed or known host that was probed last
+    EntryId lastNamedAggregator;                              ///< aggregator that was named last in a message
 };
 
-/// All other entries together, as this one knows.
+/// All other entries together, as last reported to this one.
 struct PeersView {
-    EntriesView entries;               ///< who and what they are
-    std::vector<EngineLoad> loads;     ///< what they have open
-    bool isAggregatorWatching = false; ///< the aggregator follows the tables of the store, and the store answers it
-    std::string aggregator;            ///< its host; empty: this entry
+    EntriesView entries;               ///< number and states of the entries
+    std::vector<EngineLoad> loads;     ///< sums of their loads
+    bool isAggregatorWatching = false; ///< the aggregator watches the tables of the store, and the store responds to it
+    std::string aggregator;            ///< host of the aggregator; empty: this entry is one
 };
 
 LoadExchange makeLoadExchange(const EntryRef &self, Incarnation incarnation, std::vector<std::string> seeds, TimePoint now);
-/// Drops who is silent, chooses the aggregator anew if need be, and tells what this entry has.
+/// Removes entries that timed out, replaces the aggregator if necessary, and returns the messages due.
 ExchangeMessages tick(LoadExchange &exchange, const EntryState &state, TimePoint now);
-/// Another entry's host was learned elsewhere: it is spoken to.
+/// Adds the host of another entry that was learned elsewhere. An aggregator sends its summary there.
 void addContact(LoadExchange &exchange, const std::string &host, TimePoint now);
 ExchangeMessages handleReport(LoadExchange &exchange, const EntryReport &report, TimePoint now);
 ExchangeMessages handleDigest(LoadExchange &exchange, const GroupDigest &digest, TimePoint now);
 ExchangeMessages handleSummary(LoadExchange &exchange, const GroupSummary &summary, TimePoint now);
-/// Nobody, if neither members nor groups nor an aggregator are heard.
+/// Empty while nothing is received from members, groups or an aggregator.
 PeersView peersView(const LoadExchange &exchange, TimePoint now);
-/// Whether this entry aggregates its group.
+/// Whether this entry is the aggregator of its group.
 bool isAggregator(const LoadExchange &exchange);
 
 } // namespace Parsleytrail
--- a/src/policy/load_table.h
+++ b/src/policy/load_table.h
@@ -1,12 +1,12 @@
-// Adds up what many entries tell of themselves.
+// Sums of the loads and states that entries report.
 //
 //     LoadTable table;
-//     addLoads(table, report.loads);                  // and removeLoads() before a newer report
-//     std::vector<EngineLoad> loads = listLoads(table, maxToldLoads);
+//     addLoads(table, report.loads);                  // removeLoads() before adding a newer report
+//     std::vector<EngineLoad> loads = listLoads(table, maxReportedLoads);
 //     EntriesView view;
 //     addEntry(view, report);                         // or addView(view, summary.group)
 //
-// Pure.
+// Pure functions.
 #pragma once
 
 #include "generated/messages.h"
@@ -19,27 +19,29 @@
 namespace Parsleytrail
 {
 
-/// Key of one start of a target in messages. Two targets of one key would count each other's load, which misleads choices
-/// and breaks nothing; among 3,000 targets that is one fleet in a thousand.
+/// Key of a target in messages; it changes when the target restarts. If two targets have the same key, each counts the load of
+/// the other too: this skews the selection of engines, but breaks nothing. Among 3,000 targets it happens in one fleet of a
+/// thousand.
 std::uint32_t loadKey(const ListedTarget &target);
 
-/// Load at one target, of any number of entries.
+/// Load at one target, summed over any number of entries.
 struct LoadSum {
-    int openRequests = 0;     ///< requests open
-    int avoiding = 0;         ///< entries that give it no work, after failures
-    double kvTokenLayers = 0; ///< KV cache that they are expected to need, tokens x layers
+    int openRequests = 0;     ///< open requests
+    int avoiding = 0;         ///< number of entries that send it no work after failures
+    double kvTokenLayers = 0; ///< KV cache that the requests are expected to need, in tokens x layers
 };
 using LoadTable = std::unordered_map<std::uint32_t, LoadSum>;
 
 void addLoads(LoadTable &table, const std::vector<EngineLoad> &loads);
-/// Takes out what addLoads() added; targets without load are forgotten.
+/// Subtracts what addLoads() added, and removes targets that have no load left.
 void removeLoads(LoadTable &table, const std::vector<EngineLoad> &loads);
-/// Loads for a message, at most `limit`: those with most requests, as what is not known of them misleads most.
+/// Loads for a message, at most `limit`. Prefers targets with most open requests: leaving those out would skew the selection of
+/// engines most.
 std::vector<EngineLoad> listLoads(const LoadTable &table, std::size_t limit);
 
-/// Takes one more entry into a view.
+/// Adds one entry to a view.
 void addEntry(EntriesView &view, const EntryReport &report);
-/// Takes the entries of another view in.
+/// Adds the entries of another view.
 void addView(EntriesView &view, const EntriesView &other);
 
 } // namespace Parsleytrail
--- a/src/policy/shared_budget.h
+++ b/src/policy/shared_budget.h
@@ -1,15 +1,16 @@
-// One entry's part of budgets that all entries share without asking each other before each use.
+// One entry's share of a retry budget that all entries have in common, consumed without a query to the others.
 //
-// A part has to be safe when the others are not heard: right after a start, while cut off, and when all entries start at
-// once. So an entry begins with one repeat, earns a share of its own requests, and is granted its part of the burst only
-// once it has run for a whole window of the budget: what the process before it spent is out of the window by then.
+// The share must be safe while nothing is received from the others: right after a start, while cut off, and when all entries
+// start at once. So an entry starts with one retry, earns a share of its own requests, and is granted its share of the burst
+// only after it has run for a full window of the budget: by then, whatever the process before it spent is outside of the
+// window.
 //
-//     SharedBudgetTerms terms{share, burst, window};
-//     RetryBudget budget = makeRetryPart(terms, entries);
-//     resizeRetryPart(budget, terms, entries);   // more entries were heard of
-//     grantRetryPart(budget);                    // once, after terms.window
+//     SharedBudgetLimits limits{share, burst, window};
+//     RetryBudget budget = makeRetryBudget(limits, entries);
+//     resizeRetryBudget(budget, limits, entries);   // when the number of entries changes
+//     grantRetryBurst(budget);                      // once, after limits.window
 //
-// Pure: the caller passes the time in.
+// Pure functions: the caller passes the time in.
 #pragma once
 
 #include "policy/budget.h"
@@ -17,36 +18,39 @@
 namespace Parsleytrail
 {
 
-/// What the platform allows all entries together.
+/// Limits that the platform sets for all entries together.
 struct SharedBudgetLimits {
-    double share = 0.2;              ///< repeated sends, as a share of requests
-    double burst = 100;              ///< repeated sends on top, in each window
+    double share = 0.2;              ///< retries, as a share of requests
+    double burst = 100;              ///< retries on top of the share, in each window
     std::chrono::seconds window{10}; ///< length of the window
 };
 
-/// Part of what the platform allows that is used: entries that start or stop change the parts, and news of them takes time.
+/// Fraction of the limits that is used. Entries that start or stop change the shares of all, and it takes time until all have
+/// received the change.
 constexpr double usableBudgetShare = 0.85;
 
-/// Repeats that an entry may save up; at least one, as a smaller part could never be used, unless none are allowed at all.
+/// An entry's share of the burst: the retries that it may save up. At least one, as a smaller share could never be used, unless
+/// the limits allow no retries at all.
 double retryBurstShare(const SharedBudgetLimits &limits, int entries);
-/// The part of an entry that has just started.
+/// Budget of an entry that has just started.
 RetryBudget makeRetryBudget(const SharedBudgetLimits &limits, int entries);
-/// Adapts the part to another number of entries.
+/// Adapts the budget to another number of entries.
 void resizeRetryBudget(RetryBudget &budget, const SharedBudgetLimits &limits, int entries);
-/// Fills the part up. Only once, when the entry has run for a whole window.
+/// Fills the budget up. To be called once, when the entry has run for a full window.
 void grantRetryBurst(RetryBudget &budget);
 
-/// How many entries there are, as one of them knows.
+/// State from which an entry estimates the number of entries.
 struct EntryCount {
-    bool mayHavePeers = true; ///< the settings name others
-    TimePoint startedAt{};    ///< of this process
-    int mostPeersSeen = 0;    ///< most other entries that it ever heard of at once
+    bool mayHavePeers = true; ///< the settings name other entries
+    TimePoint startedAt{};    ///< start of this process
+    int mostPeersSeen = 0;    ///< highest number of other entries that were known at once
 };
-/// Entries to share with, this one included. Entries that are gone may be back, or only cut off from this one: their part
-/// stays theirs, so that the number does not fall. While others may be there and were not heard of, it is high.
+/// Number of entries that share the budget, this one included. It does not fall when entries are lost, as they may come back or
+/// be cut off from this one only, and keep their shares. It is at least `assumedEntries` while there may be entries that are not
+/// known yet.
 int entriesToShareWith(const EntryCount &count, TimePoint now);
 
-constexpr int assumedEntries = 400;             ///< while nobody was heard of: as many as any fleet is expected to have
-constexpr milliseconds peerDiscoveryTime{2000}; ///< after a start, until all others should have been heard of
+constexpr int assumedEntries = 400;             ///< while no others are known: the most that any fleet is expected to have
+constexpr milliseconds peerDiscoveryTime{2000}; ///< after a start, until all others should be known
 
 } // namespace Parsleytrail
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// How many streams run at once, and who goes next.
+// Admission control: the limit on running streams, the order of waiting requests, and refusals.
 #include "policy/admission.h"
 #include "tests/cluster.h"
 
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_CASE(the_limit_follows_the_gaps)
 {
-    // Gaps grow with the streams that run: 1 ms for each. The limit must settle where gaps reach the target of 39 ms.
+    // Gaps between tokens grow by 1 ms with each running stream, so the limit must settle around the target of 39 ms.
     AdmissionLimit limit;
     TimePoint now = start;
     for (int step = 0; step < 60000; ++step) {
@@ -48,8 +48,8 @@
 
 BOOST_AUTO_TEST_CASE(a_large_workspace_does_not_shut_out_small_ones)
 {
-    // One workspace has a hundred requests waiting, two have five each. The first thirty starts hold all ten of the small
-    // ones.
+    // One workspace has a hundred waiting requests, two others have five each. All ten of the others must be among the first
+    // thirty to start.
     std::vector<WaitingRequest> waiting;
     waiting.reserve(100);
     for (int i = 0; i < 100; ++i) {
@@ -74,7 +74,7 @@
 {
     std::vector<WaitingRequest> waiting = {waitingOf("w", 1, 100, 0), waitingOf("w", 1, 10, 5), waitingOf("w", 1, 10, 3)};
     BOOST_TEST(selectNext(waiting, {}, start) == 2u);
-    waiting[2].startBy = start; // too late
+    waiting[2].startBy = start; // can no longer start in time
     BOOST_TEST(selectNext(waiting, {}, start) == 1u);
     BOOST_TEST((expiredRequests(waiting, start) == std::vector<std::size_t>{2}));
     BOOST_TEST(selectNext({}, {}, start) == 0u);
@@ -82,9 +82,9 @@
 
 BOOST_AUTO_TEST_CASE(over_the_limit_requests_wait_and_late_ones_are_refused_at_once)
 {
-    // Gaps are far over the target: the limit falls to its least. A burst of requests finds no room; those that can't have
-    // their first token in time are told so at their deadline, as not run, and no engine ever sees them. What started is
-    // answered in full.
+    // Gaps between tokens are far over their target, so the limit falls to its minimum. A burst of requests then finds no free
+    // capacity: those that cannot get their first token in time are refused at their deadline with the outcome not-run, and
+    // never reach an engine. Requests that were started get a complete response.
     ClusterOptions options;
     options.entries = 1;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
--- a/tests/load_exchange_test.cpp
+++ b/tests/load_exchange_test.cpp
@@ -1,4 +1,5 @@
-// The exchange of loads between entries, in simulated time: 4, 68 and 370 of them on a network that loses, delays, doubles and cuts.
+// Load exchange between 4, 68 and 370 entries, in simulated time, on a network that loses, delays and duplicates datagrams and
+// that partitions.
 #include "policy/load_exchange.h"
 
 #include "wire/frame.h"
@@ -17,11 +18,11 @@
 
 constexpr int udpHeaderBytes = 28;
 
-/// What the network does to datagrams.
+/// Faults of the simulated network.
 struct NetworkFaults {
-    double loss = 0;          ///< share that is lost
-    double duplicated = 0;    ///< share that comes twice
-    milliseconds maxDelay{2}; ///< each is delayed by up to this
+    double loss = 0;          ///< share of datagrams that are lost
+    double duplicated = 0;    ///< share of datagrams that arrive twice
+    milliseconds maxDelay{2}; ///< each datagram is delayed by 1 ms up to this
 };
 
 struct SimulatedEntry {
@@ -29,12 +30,12 @@
     EntryState state;
     bool isRunning = true;
     bool isPaused = false;
-    int partition = 0;       ///< entries of different sides do not hear each other
-    bool isIsolated = false; ///< sends and hears nothing
+    int partition = 0;       ///< entries of different partitions receive nothing from each other
+    bool isIsolated = false; ///< neither sends nor receives
     TimePoint nextTickAt{};
     std::uint64_t bytesSent = 0;
     std::uint64_t messagesSent = 0;
-    std::uint64_t largestMessageBytes = 0; ///< bytes of its largest message
+    std::uint64_t largestMessageBytes = 0; ///< with frame header
 };
 
 struct InFlight {
@@ -49,7 +50,7 @@
     }
 };
 
-/// Entries that run the exchange.
+/// Entries that run the load exchange over a simulated network.
 class SimulatedFleet
 {
 public:
@@ -82,7 +83,7 @@
     }
     NetworkFaults faults{};
 
-    /// Starts an entry, or starts it anew with nothing kept.
+    /// Starts an entry, or restarts it without its state.
     void start(std::size_t index)
     {
         SimulatedEntry &entry = m_entries[index];
@@ -123,7 +124,7 @@
     }
     std::function<void()> onStep{};
 
-    /// All learn the host of one that runs, as they do from the lease in the store: seeds may be gone for good.
+    /// Gives all entries the host of one that runs, as the lease in the store does: the seeds may be lost for good.
     void contactLeaseHolder()
     {
         for (SimulatedEntry &entry : m_entries) {
@@ -142,14 +143,14 @@
             return entry.isRunning;
         });
     }
-    /// Whether each running entry counts all others.
+    /// Whether the view of each running entry includes all others.
     bool isConverged() const
     {
         return std::all_of(m_entries.begin(), m_entries.end(), [this](const SimulatedEntry &entry) {
             return !entry.isRunning || peersView(entry.exchange, m_now).entries.entries + 1 == running();
         });
     }
-    /// Runs until the fleet is whole and stays so for a second; the time until then, at most a minute.
+    /// Runs until the fleet has converged and stays so for a second, for at most a minute. Returns the time until it converged.
     milliseconds timeToConverge()
     {
         constexpr int requiredChecks = 10;
@@ -250,7 +251,7 @@
 };
 const std::vector<FleetSize> sizes = {{4, 3}, {68, 5}, {370, 25}};
 
-/// Load of every entry at the engines near it and a few elsewhere.
+/// Gives every entry load at engines of its data centre and at a few elsewhere.
 void assignLoads(SimulatedFleet &fleet, int engines, int dataCenters)
 {
     for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -280,13 +281,13 @@
     return sum;
 }
 
-constexpr milliseconds convergenceTime{4000}; ///< until all entries that live are known, after a start or the end of a cut
+constexpr milliseconds convergenceTime{4000}; ///< until all views are complete, after a start, a loss or the end of a partition
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(load_exchange)
 
-/// Guards against fleets in which entries never hear of each other, or forget each other in turn.
+/// Guards against entries that never find each other, or that keep removing each other.
 BOOST_AUTO_TEST_CASE(entriesThatStartTogetherFindEachOther)
 {
     for (const FleetSize &size : sizes) {
@@ -301,7 +302,7 @@
     }
 }
 
-/// Guards against load that is counted twice, or not at all.
+/// Guards against load that is counted twice or not at all.
 BOOST_AUTO_TEST_CASE(everyEntryKnowsTheLoadOfAllOthers)
 {
     for (const FleetSize &size : {sizes[0], sizes[1]}) {
@@ -322,7 +323,7 @@
 /// Guards against traffic that grows with the number of entries.
 BOOST_AUTO_TEST_CASE(whatAnEntrySendsIsBounded)
 {
-    constexpr double maxBytesPerSecond = 20000; // of an entry on average
+    constexpr double maxBytesPerSecond = 20000; // average over all entries
     for (const FleetSize &size : sizes) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 3);
         const int engines = size.entries == 370 ? 3100 : 130;
@@ -341,19 +342,20 @@
         const double mean = sum / static_cast<double>(fleet.size());
         BOOST_TEST_MESSAGE(size.entries << " entries: " << mean << " bytes/s on average, an aggregator " << most);
         BOOST_TEST(mean <= maxBytesPerSecond);
-        // An aggregator tells each member of its group and each other group as much as one message holds.
+        // In each interval an aggregator sends a full message to each member and to as many groups as it may.
         const double messages = static_cast<double>(maxGroupMembers + summariesPerInterval) * 1000 / exchangeInterval.count();
         BOOST_TEST(most <= messages * (maxReportedLoads * 12 + 1000));
     }
 }
 
-/// Guards against choices by old news: engines that a whole data centre overbooks before it hears of itself.
+/// Guards against outdated loads, by which all entries of a data centre overload the same engines before they receive each
+/// other's updates.
 BOOST_AUTO_TEST_CASE(newsOfLoadIsFresh)
 {
     for (const FleetSize &size : {sizes[0], sizes[1], sizes[2]}) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 4);
         fleet.run(std::chrono::seconds(8));
-        // One entry changes its load at one target all the time; each value tells when it was set.
+        // One entry changes its load at one target in every step; the value is the time in ms at which it was set.
         constexpr std::uint32_t target = 7;
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             const bool isLocal = fleet.at(i).exchange.self.dataCenter == fleet.at(size.dataCenters == 3 ? 0 : 3 * size.dataCenters).exchange.self.dataCenter;
@@ -383,7 +385,7 @@
     }
 }
 
-/// Guards against entries that are gone and counted for ever, and against a group that is lost with its aggregator.
+/// Guards against lost entries that are counted forever, and against a group that is lost with its aggregator.
 BOOST_AUTO_TEST_CASE(aLostAggregatorIsReplacedAndForgotten)
 {
     for (const FleetSize &size : sizes) {
@@ -402,7 +404,7 @@
     }
 }
 
-/// Guards against an aggregator that stops with its group's news: it hands the group over while it still runs.
+/// Guards against the loss of a group's state when its aggregator stops: it hands the group over while it still runs.
 BOOST_AUTO_TEST_CASE(aStoppingAggregatorHandsItsGroupOver)
 {
     SimulatedFleet fleet(68, 5, 6);
@@ -423,7 +425,7 @@
     }
 }
 
-/// Guards against halves of a fleet that were cut apart and never meet again, also when all seeds are gone for good.
+/// Guards against halves of a partitioned fleet that never find each other again, also when all seeds are lost for good.
 BOOST_AUTO_TEST_CASE(halvesFindEachOtherAfterACut)
 {
     for (const FleetSize &size : sizes) {
@@ -445,13 +447,13 @@
                 fleet.at(i).partition = 0;
             }
             const milliseconds time = fleet.timeToConverge();
-            constexpr milliseconds mergeTime{20000}; // remembered hosts are tried in turn
+            constexpr milliseconds mergeTime{20000}; // known hosts are probed one after the other
             BOOST_TEST(time <= mergeTime, size.entries << " entries took " << time.count() << " ms");
         }
     }
 }
 
-/// Guards against an entry that is cut off and still counts the load of others that it has not heard for seconds.
+/// Guards against an entry that is cut off and still counts load that others reported seconds ago.
 BOOST_AUTO_TEST_CASE(anEntryThatHearsNobodyCountsNobody)
 {
     SimulatedFleet fleet(68, 5, 8);
@@ -468,7 +470,7 @@
     BOOST_TEST(time <= convergenceTime, "took " << time.count() << " ms");
 }
 
-/// Guards against a mass restart after which entries stay apart.
+/// Guards against a mass restart after which entries do not find each other.
 BOOST_AUTO_TEST_CASE(aMassRestartEndsWithOneFleet)
 {
     for (const FleetSize &size : sizes) {
@@ -482,7 +484,7 @@
     }
 }
 
-/// Guards against old messages that undo newer ones: they come late, twice, and from a start before.
+/// Guards against old messages that overwrite newer state: late ones, duplicates, and those of a previous process.
 BOOST_AUTO_TEST_CASE(oldMessagesChangeNothing)
 {
     SimulatedFleet fleet(4, 1, 10);
@@ -507,8 +509,8 @@
     }
 }
 
-/// Guards against what nobody thought of: random faults one after the other, and a whole fleet some seconds after the last.
-/// PARSLEY_EXCHANGE_SEEDS=1-200 plays more seeds than the few of each run.
+/// Guards against failures that the other tests do not foresee: random faults in sequence, after which the fleet must converge
+/// within 15 seconds of the last. PARSLEY_EXCHANGE_SEEDS=1-200 runs more than the default seeds.
 BOOST_AUTO_TEST_CASE(anyFaultsEndWithOneFleet)
 {
     unsigned first = 1;
--- a/tests/shared_budget_test.cpp
+++ b/tests/shared_budget_test.cpp
@@ -1,4 +1,4 @@
-// Budgets that many entries share: what all of them may spend together, whatever they hear of each other.
+// Shared budgets: all entries together stay within the limits, whatever they receive from each other.
 #include "policy/shared_budget.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
 constexpr double requestsPerSecond = 5; ///< of one entry
 constexpr milliseconds step{100};
 
-/// Entries whose requests all fail, so that each takes every repeat that it may.
+/// Entries whose requests all fail, so that each makes every retry that it may.
 struct FailingFleet {
     FailingFleet(int entries, const SharedBudgetLimits &budgetLimits)
         : limits(budgetLimits)
@@ -33,7 +33,7 @@
         }
     }
 
-    /// One step of all entries, each of which hears `heard` others.
+    /// Runs all entries, each of which receives messages from `peersSeen` others.
     void run(milliseconds time, int peersSeen)
     {
         for (const TimePoint end = now + time; now < end; now += step) {
@@ -64,7 +64,7 @@
         return spent;
     }
 
-    /// Most repeats in any window.
+    /// Highest number of retries in any window.
     int mostInWindow() const
     {
         const auto steps = static_cast<std::size_t>(milliseconds(limits.window) / step);
@@ -99,7 +99,7 @@
 
 BOOST_AUTO_TEST_SUITE(shared_budget)
 
-/// Guards against entries that start together, hear nobody yet and each spend a burst meant for a few.
+/// Guards against entries that start together, do not know of each other yet, and each spend a burst meant for a few.
 BOOST_AUTO_TEST_CASE(aMassRestartSpendsNoMoreThanTheBudget)
 {
     for (const int entries : {4, 68, 370}) {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Guards against halves of a cut fleet that each take the whole burst.
+/// Guards against halves of a partitioned fleet that each spend the entire burst.
 BOOST_AUTO_TEST_CASE(halvesThatDoNotHearEachOtherKeepTheirParts)
 {
     for (const int entries : {4, 68, 370}) {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Guards against a fleet that never hears of itself and spends a burst for each entry.
+/// Guards against entries that never receive anything from each other and each spend a full burst.
 BOOST_AUTO_TEST_CASE(entriesThatHearNobodyStayWithinTheBudget)
 {
     for (const int entries : {4, 68, 370}) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Guards against parts below one repeat, which could never be used.
+/// Guards against shares below one retry, which could never be used.
 BOOST_AUTO_TEST_CASE(aPartOfASmallBudgetCanStillBeUsed)
 {
     RetryBudget budget = makeRetryBudget({0.2, 10, std::chrono::seconds(10)}, 370);
@@ -148,7 +148,7 @@
     BOOST_TEST(tryConsumeRetry(budget));
 }
 
-/// Guards against a repeat where the operator allows none.
+/// Guards against a retry where the operator allows none.
 BOOST_AUTO_TEST_CASE(whereNoRepeatIsAllowedNoneIsTaken)
 {
     RetryBudget budget = makeRetryBudget({0, 0, std::chrono::seconds(10)}, 4);
