--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -345,15 +345,15 @@
 }
 
 template<typename Message>
-static std::vector<EntryId> expiredIds(const std::map<EntryId, Received<Message>> &digestLoads, milliseconds timeout, TimePoint now)
+static std::vector<EntryId> expiredIds(const std::map<EntryId, Received<Message>> &received, milliseconds timeout, TimePoint now)
 {
-    std::vector<EntryId> unresponsiveUntil;
-    for (const auto &[id, one] : digestLoads) {
+    std::vector<EntryId> expired;
+    for (const auto &[id, one] : received) {
         if (now - one.receivedAt > timeout) {
-            unresponsiveUntil.push_back(id);
+            expired.push_back(id);
         }
     }
-    return unresponsiveUntil;
+    return expired;
 }
 
 static void removeExpired(LoadExchange &exchange, TimePoint now)
--- a/tests/load_exchange_test.cpp
+++ b/tests/load_exchange_test.cpp
@@ -350,7 +350,7 @@
 
 /// Guards against outdated loads, by which all entries of a data centre overload the same engines before they receive each
 /// other's updates.
-BOOST_AUTO_TEST_CASE(newsOfLoadIsFresh)
+BOOST_AUTO_TEST_CASE(loadUpdatesAreRecent)
 {
     for (const FleetSize &size : {sizes[0], sizes[1], sizes[2]}) {
         SimulatedFleet fleet(size.entries, size.dataCenters, 4);
@@ -454,7 +454,7 @@
 }
 
 /// Guards against an entry that is cut off and still counts load that others reported seconds ago.
-BOOST_AUTO_TEST_CASE(anEntryThatHearsNobodyCountsNobody)
+BOOST_AUTO_TEST_CASE(anIsolatedEntryCountsNobody)
 {
     SimulatedFleet fleet(68, 5, 8);
     assignLoads(fleet, 130, 5);
--- a/tests/shared_budget_test.cpp
+++ b/tests/shared_budget_test.cpp
@@ -114,7 +114,7 @@
 }
 
 /// Guards against halves of a partitioned fleet that each spend the entire burst.
-BOOST_AUTO_TEST_CASE(halvesThatDoNotHearEachOtherKeepTheirParts)
+BOOST_AUTO_TEST_CASE(partitionedHalvesKeepTheirShares)
 {
     for (const int entries : {4, 68, 370}) {
         FailingFleet fleet(entries, hundredsOfEntries);
@@ -126,7 +126,7 @@
 }
 
 /// Guards against entries that never receive anything from each other and each spend a full burst.
-BOOST_AUTO_TEST_CASE(entriesThatHearNobodyStayWithinTheBudget)
+BOOST_AUTO_TEST_CASE(isolatedEntriesStayWithinTheBudget)
 {
     for (const int entries : {4, 68, 370}) {
         FailingFleet fleet(entries, hundredsOfEntries);
@@ -137,7 +137,7 @@
 }
 
 /// Guards against shares below one retry, which could never be used.
-BOOST_AUTO_TEST_CASE(aPartOfASmallBudgetCanStillBeUsed)
+BOOST_AUTO_TEST_CASE(aShareOfASmallBudgetCanStillBeUsed)
 {
     RetryBudget budget = makeRetryBudget({0.2, 10, std::chrono::seconds(10)}, 370);
     BOOST_TEST(tryConsumeRetry(budget));
@@ -149,7 +149,7 @@
 }
 
 /// Guards against a retry where the operator allows none.
-BOOST_AUTO_TEST_CASE(whereNoRepeatIsAllowedNoneIsTaken)
+BOOST_AUTO_TEST_CASE(whereNoRetryIsAllowedNoneIsMade)
 {
     RetryBudget budget = makeRetryBudget({0, 0, std::chrono::seconds(10)}, 4);
     grantRetryBurst(budget);
