--- a/src/policy/load_exchange.h
+++ b/src/policy/load_exchange.h
@@ -110,7 +110,7 @@
     std::map<std::string, Received<EntryRef>> joinCandidates; ///< by data centre: best aggregator among entries that look for a group
     std::map<std::string, TimePoint> contacts;                ///< hosts of possible aggregators, and when each was added
     std::map<std::string, TimePoint> knownHosts;              ///< hosts of other entries, and when each last sent or was named
-    std::map<std::string, TimePoint> unresponsiveUntil;       ///< hosts of aggregators that timed out or are stopping: not tried before
+    std::map<std::string, TimePoint> unresponsiveUntil;       ///< hosts of aggregators that timed out or are stopping, and until when they are not tried
     std::string lastProbedHost;                               ///< seed or known host that was probed last
     EntryId lastNamedAggregator;                              ///< aggregator that was named last in a message
 };
