--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -8,9 +8,9 @@
 namespace Parsleytrail
 {
 
-static SharedBudgetTerms retryTerms(const RelayContext &context)
+static SharedBudgetLimits retryTerms(const RelayContext &context)
 {
-    SharedBudgetTerms terms;
+    SharedBudgetLimits terms;
     terms.share = context.settings.retryShare;
     terms.burst = context.settings.retryBurst;
     terms.window = std::chrono::duration_cast<std::chrono::seconds>(context.settings.retryWindow);
@@ -23,57 +23,57 @@
     if (it != context.retryBudgets.end()) {
         return it->second;
     }
-    RetryBudget budget = makeRetryPart(retryTerms(context), entriesToShareWith(context.entryCount, context.clock.now()));
+    RetryBudget budget = makeRetryBudget(retryTerms(context), entriesToShareWith(context.entryCount, context.clock.now()));
     if (context.hasRetryShare) {
-        grantRetryPart(budget);
+        grantRetryBurst(budget);
     }
     return context.retryBudgets.emplace(service, budget).first->second;
 }
 
 void recordReachableEntries(RelayContext &context, int reachable)
 {
-    context.entryCount.mostHeard = std::max(context.entryCount.mostHeard, reachable);
+    context.entryCount.mostPeersSeen = std::max(context.entryCount.mostPeersSeen, reachable);
 }
 
 void updateBudgetShares(RelayContext &context)
 {
     const TimePoint now = context.clock.now();
-    const SharedBudgetTerms terms = retryTerms(context);
+    const SharedBudgetLimits terms = retryTerms(context);
     const bool isGranted = !context.hasRetryShare && now - context.entryCount.startedAt >= terms.window;
     context.hasRetryShare = context.hasRetryShare || isGranted;
     for (auto &[service, budget] : context.retryBudgets) {
-        resizeRetryPart(budget, terms, entriesToShareWith(context.entryCount, now));
+        resizeRetryBudget(budget, terms, entriesToShareWith(context.entryCount, now));
         if (isGranted) {
-            grantRetryPart(budget);
+            grantRetryBurst(budget);
         }
     }
 }
 
 bool tryRetry(RelayContext &context, const ServiceName &service)
 {
-    return tryRetry(retryBudgetOf(context, service));
+    return tryConsumeRetry(retryBudgetOf(context, service));
 }
 
 bool canRetry(RelayContext &context, const ServiceName &service)
 {
-    return retryBudgetOf(context, service).saved >= 1;
+    return retryBudgetOf(context, service).available >= 1;
 }
 
 bool hasSpareRetries(RelayContext &context, const ServiceName &service)
 {
     const RetryBudget &budget = retryBudgetOf(context, service);
-    return budget.saved > budget.burst / 2;
+    return budget.available > budget.burst / 2;
 }
 
 void recordRequest(RelayContext &context, const ServiceName &service)
 {
-    noteRequest(retryBudgetOf(context, service));
+    recordRequest(retryBudgetOf(context, service));
 }
 
-RateBudget &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service)
+TokenBucket &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service)
 {
-    const RateBudget configured = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
-    RateBudget &budget = context.crossDataCenterBudgets[service.name];
+    const TokenBucket configured = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
+    TokenBucket &budget = context.crossDataCenterBudgets[service.name];
     budget.perSecond = configured.perSecond;
     budget.burst = configured.burst;
     return budget;
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -44,7 +44,7 @@
     Fleet fleet{};
     std::shared_ptr<const RouteTable> routes{}; ///< configuration in force; null until one was received
     std::unordered_map<ServiceName, RetryBudget> retryBudgets{};
-    std::unordered_map<ServiceName, RateBudget> crossDataCenterBudgets{};
+    std::unordered_map<ServiceName, TokenBucket> crossDataCenterBudgets{};
     std::mt19937_64 random{}; ///< seeded by the id and the start time, so that a run can be reproduced
     RelayMetrics metrics{};
     double averageEventGapMs = 50; ///< moving average of the time between two events of a stream, in milliseconds
@@ -66,7 +66,7 @@
 void recordRequest(RelayContext &context, const ServiceName &service);
 
 /// This entry's share of the link between data centres for a service, at the rate of the newest configuration.
-RateBudget &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service);
+TokenBucket &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service);
 
 /// Records a failure of a target: it gets no new work until its pause is over, and an engine not before it has answered a probe.
 /// Closes its kept connections and logs the change.
--- a/src/relay/registry.cpp
+++ b/src/relay/registry.cpp
@@ -117,10 +117,10 @@
     state.targetsChange = d->targets->lastChange();
 }
 
-void Registry::applyPeerState(const OthersView &others)
+void Registry::applyPeerState(const PeersView &others)
 {
     const EntriesView &entries = others.entries;
-    if (others.isFollowed) {
+    if (others.isAggregatorWatching) {
         d->configuration->followPeer();
         d->targets->followPeer();
         if (entries.configuration.change > d->configuration->lastChange()) {
--- a/src/relay/registry.h
+++ b/src/relay/registry.h
@@ -28,7 +28,7 @@
     void describe(EntryState &state) const;
     /// Applies the state of the other entries. While the aggregator watches the tables, this entry does not and fetches target
     /// changes from it. While this entry can't reach the store, it fetches newer rows from an entry that has them.
-    void applyPeerState(const OthersView &others);
+    void applyPeerState(const PeersView &others);
     /// Encoded TableCopy for a peer's encoded TableWanted; empty if that is malformed or names an unknown table.
     std::string copyTable(std::string_view wantedBytes) const;
     /// Whether live targets may be missing: their rows expire during an outage of the store, the store has just recovered, and this
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -451,7 +451,7 @@
         state.isDraining = data.isDraining;
         state.isOrdering = data.lease->isHeld() || data.isFallbackLeader;
     };
-    onPeers.onOthers = [&data](const OthersView &others) {
+    onPeers.onOthers = [&data](const PeersView &others) {
         data.registry->applyPeerState(others);
     };
     data.peers = std::make_unique<RelayPeers>(data.context, std::move(onPeers));
@@ -530,7 +530,7 @@
     state["openRequests"] = d->forwardings.size();
     state["peersHeard"] = d->peers->others().entries.entries;
     state["aggregator"] = d->peers->others().aggregator;
-    state["followsAggregator"] = d->peers->others().isFollowed;
+    state["followsAggregator"] = d->peers->others().isAggregatorWatching;
     state["callerConnections"] = d->sessions->count();
     for (const auto &[id, target] : context.fleet.targets) {
         state["targets"][id.value] = {{"service", target.listed.service.value}, {"address", target.listed.address.toString()},
--- a/src/relay/relay_peers.h
+++ b/src/relay/relay_peers.h
@@ -20,7 +20,7 @@
 public:
     struct Handlers {
         std::function<void(EntryState &)> describe;       ///< fills in all of this entry's state except the loads
-        std::function<void(const OthersView &)> onOthers; ///< called when the state of the others may have changed
+        std::function<void(const PeersView &)> onOthers; ///< called when the state of the others may have changed
     };
 
     RelayPeers(RelayContext &context, Handlers handlers);
@@ -28,7 +28,7 @@
     /// Binds the socket and starts to send reports. Fails with the step "bind datagrams".
     Result<void> start();
     /// Combined state of all other relays, as last received.
-    const OthersView &others() const;
+    const PeersView &others() const;
     /// Adds the host of another relay that was found by other means.
     void recordHost(const std::string &host);
 
