--- a/src/policy/chain_choice.cpp
+++ b/src/policy/chain_selection.cpp
@@ -1,4 +1,4 @@
-#include "policy/chain_choice.h"
+#include "policy/chain_selection.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/policy/gap_repair.cpp
+++ b/src/policy/coverage_repair.cpp
@@ -1,4 +1,4 @@
-#include "policy/gap_repair.h"
+#include "policy/coverage_repair.h"
 
 #include <algorithm>
 
--- a/src/policy/crossing.cpp
+++ b/src/policy/cross_data_center_budget.cpp
@@ -1,4 +1,4 @@
-#include "policy/crossing.h"
+#include "policy/cross_data_center_budget.h"
 
 #include <algorithm>
 
--- a/src/policy/crossing.h
+++ b/src/policy/cross_data_center_budget.h
@@ -11,7 +11,7 @@
 #pragma once
 
 #include "policy/budget.h"
-#include "policy/chain_choice.h"
+#include "policy/chain_selection.h"
 
 namespace Parsleytrail
 {
--- a/src/policy/duty.cpp
+++ b/src/policy/fallback_leader.cpp
@@ -1,4 +1,4 @@
-#include "policy/duty.h"
+#include "policy/fallback_leader.h"
 
 #include <algorithm>
 
--- a/src/policy/employment.cpp
+++ b/src/policy/idle_engine_assignment.cpp
@@ -1,4 +1,4 @@
-#include "policy/employment.h"
+#include "policy/idle_engine_assignment.h"
 
 #include <algorithm>
 
--- a/src/policy/first_plan.cpp
+++ b/src/policy/initial_placement.cpp
@@ -1,4 +1,4 @@
-#include "policy/first_plan.h"
+#include "policy/initial_placement.h"
 
 #include <algorithm>
 
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -1,8 +1,8 @@
 #include "policy/placement.h"
 
-#include "policy/employment.h"
-#include "policy/first_plan.h"
-#include "policy/gap_repair.h"
+#include "policy/coverage_repair.h"
+#include "policy/idle_engine_assignment.h"
+#include "policy/initial_placement.h"
 
 #include <algorithm>
 
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -1,7 +1,7 @@
 #include "relay/context.h"
 
 #include "base/log.h"
-#include "policy/crossing.h"
+#include "policy/cross_data_center_budget.h"
 
 #include <algorithm>
 
--- a/src/relay/dialect.h
+++ b/src/relay/dialect.h
@@ -6,7 +6,7 @@
 
 #include "base/errors.h"
 #include "http/client.h"
-#include "policy/chain_choice.h"
+#include "policy/chain_selection.h"
 #include "policy/fleet.h"
 #include "policy/routes.h"
 #include "store/rows.h"
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -6,7 +6,7 @@
 #include "base/text.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "policy/duty.h"
+#include "policy/fallback_leader.h"
 #include "relay/caller_session.h"
 #include "relay/engine_prober.h"
 #include "relay/forwarded_request.h"
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -3,7 +3,7 @@
 
 #include "base/log.h"
 #include "base/text.h"
-#include "policy/crossing.h"
+#include "policy/cross_data_center_budget.h"
 
 #include <absl/strings/str_cat.h>
 
--- a/tests/chain_choice_test.cpp
+++ b/tests/chain_selection_test.cpp
@@ -1,6 +1,6 @@
 // Which engines a stream passes through: room, slots, data centres, slow and failed engines.
-#include "policy/chain_choice.h"
-#include "policy/crossing.h"
+#include "policy/chain_selection.h"
+#include "policy/cross_data_center_budget.h"
 #include "policy/fleet.h"
 #include "tests/engine_models.h"
 
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -1,5 +1,5 @@
 // The relay's decisions, without a network: routes, the fleet, the duty of placing layers.
-#include "policy/duty.h"
+#include "policy/fallback_leader.h"
 #include "policy/fleet.h"
 #include "policy/routes.h"
 #include "relay/table_feed.h"
