--- a/src/policy/chain_selection.h
+++ b/src/policy/chain_selection.h
@@ -18,12 +18,12 @@
 {
 
 /// One engine's part of a chain.
-struct ChainPart {
+struct ChainStage {
     TargetId id;       ///< engine
     Address address;   ///< of the engine
     LayerRange layers; ///< applied there
 
-    bool operator==(const ChainPart &) const = default;
+    bool operator==(const ChainStage &) const = default;
 };
 
 /// What a request will need.
@@ -35,16 +35,16 @@
 /// KV cache that a request is counted with, tokens: what it holds on average while it runs. Its prompt is there from the
 /// start, and its answer grows; of many requests at an engine some begin while others end. Counted with its whole answer
 /// from the start, each engine would stand a tenth empty while callers are refused for want of room.
-double plannedTokens(const StreamDemand &demand);
+double plannedKvTokens(const StreamDemand &demand);
 
 /// Where and when a chain is chosen.
-struct ChainSituation {
+struct ChainSelectionContext {
     const EngineModel *model = nullptr; ///< of the service
     ServiceName service;                ///< whose engines are taken
     std::string dataCenter;             ///< of the entry
     TimePoint now{};                    ///< engines to be avoided until later are left out
     std::set<TargetId> excluded;        ///< engines that already failed this request
-    std::vector<ChainPart> current;     ///< chain of a request that runs: its first part is kept, others where they can be
+    std::vector<ChainStage> current;    ///< chain of a request that runs: its first part is kept, others where they can be
 };
 
 /// Weights of the choice.
@@ -53,9 +53,9 @@
     double hopMs = 0.3;
     /// A hop to another data centre moves the activations of every token of prompt and answer through a pipe that all
     /// share: chains take as few as they can.
-    double crossHopMs = 400;
+    double crossDataCenterHopMs = 400;
     /// Whether chains may cross between data centres; see policy/crossing.h.
-    bool mayCross = true;
+    bool allowsCrossDataCenter = true;
     /// A chain that begins in another data centre than the entry. Only bytes of events cross, but the choice rests on news
     /// that all entries share and that is some hundred milliseconds old: entries of all data centres would choose the same
     /// few engines until they hear of each other. More than a loaded chain costs, so that the own data centre goes first.
@@ -72,30 +72,30 @@
     /// an engine over its slots queues, then refuses.
     double slotLimit = 0.95;
     /// Factor on the cost of a part that a running request already has: a new part reads all tokens so far.
-    double keptPartFactor = 0.3;
+    double keptStageFactor = 0.3;
     /// Random share added to each cost, so that entries of a data centre, whose views are equal, do not all choose the same engine.
     double jitter = 0.2;
 };
 
 /// KV cache of an engine, tokens x layers.
-double kvCapacity(const EngineModel &model, const ListedTarget &listed);
+double kvCapacity(const EngineModel &model, const RegisteredTarget &registered);
 
 /// The best chain; empty if the engines that may be used do not cover all layers, or have no room.
-std::vector<ChainPart> chooseChain(const Fleet &fleet, const ChainSituation &situation, const StreamDemand &demand, std::mt19937_64 &random,
-                                   const ChainTuning &tuning = {});
+std::vector<ChainStage> selectChain(const Fleet &fleet, const ChainSelectionContext &context, const StreamDemand &demand, std::mt19937_64 &random,
+                                    const ChainTuning &tuning = {});
 /// How much more a data centre could take, as this entry sees it.
-struct DataCenterRoom {
-    std::string dataCenter; ///< name
-    int engines = 0;        ///< that may be used
-    int slots = 0;          ///< free at the engines that hold layer 0
-    int streams = 0;        ///< for which its narrowest layer has KV cache
-    int narrowestLayer = 0; ///< that layer; the first of several
+struct DataCenterFreeCapacity {
+    std::string dataCenter;  ///< name
+    int engines = 0;         ///< that may be used
+    int slots = 0;           ///< free at the engines that hold layer 0
+    int streams = 0;         ///< for which its narrowest layer has KV cache
+    int bottleneckLayer = 0; ///< that layer; the first of several
 };
 /// What is left for requests like one that found no chain.
-struct FleetRoom {
-    std::vector<DataCenterRoom> dataCenters; ///< room of each
-    bool coversAllLayers = false;            ///< usable engines hold all layers, full or not: tells a full fleet from one with a gap
+struct FleetFreeCapacity {
+    std::vector<DataCenterFreeCapacity> dataCenters; ///< room of each
+    bool coversAllLayers = false;                    ///< usable engines hold all layers, full or not: tells a full fleet from one with a gap
 };
-FleetRoom roomLeft(const Fleet &fleet, const ChainSituation &situation, const StreamDemand &demand);
+FleetFreeCapacity freeCapacityLeft(const Fleet &fleet, const ChainSelectionContext &context, const StreamDemand &demand);
 
 } // namespace Parsleytrail
--- a/src/policy/coverage_repair.cpp
+++ b/src/policy/coverage_repair.cpp
@@ -10,17 +10,17 @@
 
 /// Gives the start of a gap to an empty engine; returns the layers taken. One that takes the whole gap goes first, the
 /// smallest of these; else the largest.
-static int fillWithEmptyEngine(const EngineModel &model, EngineGroup &group, LayerRange gap, const PlacementTuning &tuning, std::vector<int> &copies,
+static int coverWithIdleEngine(const EngineModel &model, EngineGroup &group, LayerRange uncovered, const PlacementTuning &tuning, std::vector<int> &copies,
                                std::vector<PlacementOrder> &orders)
 {
     PlacedEngine *best = nullptr;
     int bestRank = 0;
     for (PlacedEngine &engine : group) {
-        const int room = layersThatFit(model, engine, tuning.emergencyShare);
-        if (room == 0 || engine.layers.count() > 0 || engine.isLeaving || engine.isFixed) {
+        const int maxLayers = layersThatFit(model, engine, tuning.emergencyShare);
+        if (maxLayers == 0 || engine.layers.count() > 0 || engine.isLeaving || engine.hasPendingOrder) {
             continue;
         }
-        const int rank = room >= gap.count() ? model.layers * 2 - room : room;
+        const int rank = maxLayers >= uncovered.count() ? model.layers * 2 - maxLayers : maxLayers;
         if (!best || rank > bestRank) {
             best = &engine;
             bestRank = rank;
@@ -29,8 +29,8 @@
     if (!best) {
         return 0;
     }
-    const int count = std::min(gap.count(), layersThatFit(model, *best, tuning.emergencyShare));
-    assign(*best, {gap.from, gap.from + count}, "gap filled by an empty engine", copies, orders);
+    const int count = std::min(uncovered.count(), layersThatFit(model, *best, tuning.emergencyShare));
+    assignLayers(*best, {uncovered.from, uncovered.from + count}, "gap filled by an empty engine", copies, orders);
     return count;
 }
 
@@ -38,20 +38,20 @@
 ///
 /// Layers that are given up take no new streams, and new ones are loaded only when the streams in the old ones have ended,
 /// which takes seconds. An engine that adds layers to its own loads at once and goes on serving.
-static LayerRange rangeToHold(const EngineModel &model, const PlacedEngine &engine, LayerRange part, const PlacementTuning &tuning)
+static LayerRange rangeToLoad(const EngineModel &model, const PlacedEngine &engine, LayerRange stage, const PlacementTuning &tuning)
 {
-    const LayerRange both{std::min(part.from, engine.layers.from), std::max(part.to, engine.layers.to)};
-    const bool touches = engine.layers.count() > 0 && both.count() <= part.count() + engine.layers.count();
-    return touches && both.count() <= layersThatFit(model, engine, tuning.emergencyShare) ? both : part;
+    const LayerRange both{std::min(stage.from, engine.layers.from), std::max(stage.to, engine.layers.to)};
+    const bool isAdjacent = engine.layers.count() > 0 && both.count() <= stage.count() + engine.layers.count();
+    return isAdjacent && both.count() <= layersThatFit(model, engine, tuning.emergencyShare) ? both : stage;
 }
 
 /// Sums of the cost of giving up the layers below each layer: a plan asks for the cost of some hundred thousand ranges, and
 /// on a twentieth of a core a plan of milliseconds holds back events.
-static std::vector<double> sumGiveUpCosts(const std::vector<int> &copies, const PlacementTuning &tuning)
+static std::vector<double> releaseCostPrefixSums(const std::vector<int> &copies, const PlacementTuning &tuning)
 {
     std::vector<double> sums = {0};
     for (const int holders : copies) {
-        sums.push_back(sums.back() + (holders > 1 ? tuning.giveUpSharedCost : tuning.giveUpCost));
+        sums.push_back(sums.back() + (holders > 1 ? tuning.releaseSharedCost : tuning.releaseCost));
     }
     return sums;
 }
@@ -62,7 +62,7 @@
 }
 
 /// Cost of an engine's giving up all of its layers but those in `held`.
-static double giveUpCost(const PlacedEngine &engine, LayerRange held, const std::vector<double> &sums)
+static double releaseCost(const PlacedEngine &engine, LayerRange held, const std::vector<double> &sums)
 {
     const double all = sums[engine.layers.to] - sums[engine.layers.from];
     if (keptLayers(engine, held) == 0) {
@@ -72,43 +72,43 @@
 }
 
 /// Cost of an engine's serving a part: layers to be loaded and given up, and the KV cache that is lost.
-static double partCost(const EngineModel &model, const PlacedEngine &engine, LayerRange part, const std::vector<double> &giveUpSums,
-                       const PlacementTuning &tuning)
+static double stageCost(const EngineModel &model, const PlacedEngine &engine, LayerRange stage, const std::vector<double> &releaseSums,
+                        const PlacementTuning &tuning)
 {
-    if (part.count() == 0 || engine.layers.contains(part)) {
+    if (stage.count() == 0 || engine.layers.contains(stage)) {
         return 0;
     }
-    const LayerRange held = rangeToHold(model, engine, part, tuning);
+    const LayerRange held = rangeToLoad(model, engine, stage, tuning);
     const double fill = held.count() * model.layerMb / memoryOf(model, engine) / tuning.layerShare;
     const double lostCache = tuning.fillCost * fill * fill * fill * fill;
-    return (held.count() - keptLayers(engine, held)) + lostCache + giveUpCost(engine, held, giveUpSums);
+    return (held.count() - keptLayers(engine, held)) + lostCache + releaseCost(engine, held, releaseSums);
 }
 
 /// A way to cover all layers.
-struct Cut {
-    EngineGroup chain;             ///< engines in the order of their parts
-    std::vector<LayerRange> parts; ///< of each engine of the chain; empty: left as it is
-    double cost = unreachableCost; ///< see partCost()
+struct Partition {
+    EngineGroup chain;              ///< engines in the order of their parts
+    std::vector<LayerRange> stages; ///< of each engine of the chain; empty: left as it is
+    double cost = unreachableCost;  ///< see partCost()
 };
 
 /// The cheapest way to cover all layers by the engines in the given order: each takes the layers where the one before it
 /// ends, or is left out. The cost is unreachableCost if they can't.
-static Cut cutInOrder(const EngineModel &model, EngineGroup chain, const std::vector<double> &giveUpSums, const PlacementTuning &tuning)
+static Partition partitionInOrder(const EngineModel &model, EngineGroup chain, const std::vector<double> &releaseSums, const PlacementTuning &tuning)
 {
     const std::size_t width = model.layers + 1;
     std::vector<double> cost((chain.size() + 1) * width, unreachableCost);
     std::vector<int> cameFrom((chain.size() + 1) * width, 0);
     cost[0] = 0;
     for (std::size_t i = 0; i < chain.size(); ++i) {
-        const int most = chain[i].isFixed ? model.layers : layersThatFit(model, chain[i], tuning.emergencyShare);
+        const int most = chain[i].hasPendingOrder ? model.layers : layersThatFit(model, chain[i], tuning.emergencyShare);
         for (int from = 0; from <= model.layers; ++from) {
             const double base = cost[i * width + from];
             for (int to = from; base < unreachableCost && to <= std::min(model.layers, from + most); ++to) {
                 // An engine that can't be ordered now serves what it holds, or nothing.
-                if (chain[i].isFixed && to > from && !chain[i].layers.contains({from, to})) {
+                if (chain[i].hasPendingOrder && to > from && !chain[i].layers.contains({from, to})) {
                     continue;
                 }
-                const double total = base + partCost(model, chain[i], {from, to}, giveUpSums, tuning);
+                const double total = base + stageCost(model, chain[i], {from, to}, releaseSums, tuning);
                 if (total < cost[(i + 1) * width + to]) {
                     cost[(i + 1) * width + to] = total;
                     cameFrom[(i + 1) * width + to] = from;
@@ -116,17 +116,17 @@
             }
         }
     }
-    Cut cut;
-    cut.cost = cost[chain.size() * width + model.layers];
-    cut.parts.resize(chain.size());
+    Partition partition;
+    partition.cost = cost[chain.size() * width + model.layers];
+    partition.stages.resize(chain.size());
     int to = model.layers;
-    for (std::size_t i = chain.size(); i > 0 && cut.cost < unreachableCost; --i) {
+    for (std::size_t i = chain.size(); i > 0 && partition.cost < unreachableCost; --i) {
         const int from = cameFrom[i * width + to];
-        cut.parts[i - 1] = {from, to};
+        partition.stages[i - 1] = {from, to};
         to = from;
     }
-    cut.chain = std::move(chain);
-    return cut;
+    partition.chain = std::move(chain);
+    return partition;
 }
 
 /// The cheapest cut with one engine moved to the start of a gap.
@@ -134,27 +134,27 @@
 /// A lost engine with many layers leaves more than its neighbours can add to their own. Handed on from neighbour to
 /// neighbour, the gap makes every engine of the group give up its layers; one engine that moves into it leaves a gap of its
 /// own that its neighbours can take.
-static Cut cutWithMove(const EngineModel &model, const EngineGroup &chain, const std::vector<int> &copies, const PlacementTuning &tuning)
+static Partition partitionWithMove(const EngineModel &model, const EngineGroup &chain, const std::vector<int> &copies, const PlacementTuning &tuning)
 {
-    const std::vector<double> giveUpSums = sumGiveUpCosts(copies, tuning);
-    Cut best;
-    for (const LayerRange &gap : gapsOf(copies)) {
-        for (std::size_t moved = 0; moved < chain.size(); ++moved) {
-            if (chain[moved].isFixed || chain[moved].layers.count() == 0) {
+    const std::vector<double> releaseSums = releaseCostPrefixSums(copies, tuning);
+    Partition best;
+    for (const LayerRange &uncovered : uncoveredRanges(copies)) {
+        for (std::size_t movedIndex = 0; movedIndex < chain.size(); ++movedIndex) {
+            if (chain[movedIndex].hasPendingOrder || chain[movedIndex].layers.count() == 0) {
                 continue;
             }
             EngineGroup others = chain;
-            PlacedEngine engine = chain[moved];
-            others.erase(others.begin() + static_cast<std::ptrdiff_t>(moved));
-            engine.layers = {gap.from, gap.from};
+            PlacedEngine engine = chain[movedIndex];
+            others.erase(others.begin() + static_cast<std::ptrdiff_t>(movedIndex));
+            engine.layers = {uncovered.from, uncovered.from};
             const auto behind = std::find_if(others.begin(), others.end(), [&](const PlacedEngine &other) {
-                return other.layers.from > gap.from;
+                return other.layers.from > uncovered.from;
             });
             others.insert(behind, engine);
-            Cut cut = cutInOrder(model, std::move(others), giveUpSums, tuning);
-            cut.cost += giveUpCost(chain[moved], {}, giveUpSums);
-            if (cut.cost < best.cost) {
-                best = std::move(cut);
+            Partition partition = partitionInOrder(model, std::move(others), releaseSums, tuning);
+            partition.cost += releaseCost(chain[movedIndex], {}, releaseSums);
+            if (partition.cost < best.cost) {
+                best = std::move(partition);
             }
         }
     }
@@ -165,37 +165,38 @@
 ///
 /// While engines that are about to leave still serve their layers, the chain works: those that add layers go first, and
 /// layers that nobody else holds are given up only when nothing else is left to do.
-static void orderCut(const EngineModel &model, EngineGroup &group, const Cut &cut, const PlacementTuning &tuning, std::vector<int> &copies,
-                     std::vector<PlacementOrder> &orders)
+static void addOrders(const EngineModel &model, EngineGroup &group, const Partition &partition, const PlacementTuning &tuning, std::vector<int> &copies,
+                      std::vector<PlacementOrder> &orders)
 {
-    if (cut.cost >= unreachableCost) {
+    if (partition.cost >= unreachableCost) {
         return;
     }
-    const std::vector<double> giveUpSums = sumGiveUpCosts(copies, tuning);
+    const std::vector<double> releaseSums = releaseCostPrefixSums(copies, tuning);
     std::vector<PlacementOrder> adding;
-    std::vector<PlacementOrder> givingUp;
-    for (std::size_t i = 0; i < cut.chain.size(); ++i) {
-        const PlacedEngine &engine = *findEngine(group, cut.chain[i].id);
-        if (cut.parts[i].count() == 0 || engine.layers.contains(cut.parts[i])) {
+    std::vector<PlacementOrder> releasing;
+    for (std::size_t i = 0; i < partition.chain.size(); ++i) {
+        const PlacedEngine &engine = *findEngine(group, partition.chain[i].id);
+        if (partition.stages[i].count() == 0 || engine.layers.contains(partition.stages[i])) {
             continue;
         }
-        const LayerRange held = rangeToHold(model, cut.chain[i], cut.parts[i], tuning);
-        const bool givesUp = giveUpCost(engine, held, giveUpSums) >= tuning.giveUpCost;
-        (givesUp ? givingUp : adding).push_back({engine.id, held, "gap shared out"});
+        const LayerRange held = rangeToLoad(model, partition.chain[i], partition.stages[i], tuning);
+        const bool releases = releaseCost(engine, held, releaseSums) >= tuning.releaseCost;
+        (releases ? releasing : adding).push_back({engine.id, held, "gap shared out"});
     }
     const bool isServing = servesAllLayers(model, group);
     if (!isServing || adding.empty()) {
-        adding.insert(adding.end(), givingUp.begin(), givingUp.end());
+        adding.insert(adding.end(), releasing.begin(), releasing.end());
     }
     for (PlacementOrder &order : adding) {
-        assign(*findEngine(group, order.id), order.layers, "gap shared out", copies, orders);
+        assignLayers(*findEngine(group, order.id), order.layers, "gap shared out", copies, orders);
         // Streams in a group whose chain is broken get no events; waiting for them would keep it broken for seconds.
         orders.back().dropsStreams = !isServing;
     }
 }
 
 /// Cuts the ranges of a group with gaps anew.
-static void recut(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
+static void repartition(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
+                        std::vector<PlacementOrder> &orders)
 {
     EngineGroup chain;
     for (const PlacedEngine &engine : group) {
@@ -206,26 +207,26 @@
     std::stable_sort(chain.begin(), chain.end(), [](const PlacedEngine &a, const PlacedEngine &b) {
         return a.layers.from != b.layers.from ? a.layers.from < b.layers.from : a.id < b.id;
     });
-    const Cut cut = cutInOrder(model, chain, sumGiveUpCosts(copies, tuning), tuning);
-    const Cut moved = cutWithMove(model, chain, copies, tuning);
-    orderCut(model, group, moved.cost < cut.cost ? moved : cut, tuning, copies, orders);
+    const Partition partition = partitionInOrder(model, chain, releaseCostPrefixSums(copies, tuning), tuning);
+    const Partition moved = partitionWithMove(model, chain, copies, tuning);
+    addOrders(model, group, moved.cost < partition.cost ? moved : partition, tuning, copies, orders);
 }
 
-bool repairGaps(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
+bool repairCoverage(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
 {
-    std::vector<LayerRange> gaps = gapsOf(copies);
-    while (!gaps.empty() && fillWithEmptyEngine(model, group, gaps.front(), tuning, copies, orders) > 0) {
-        gaps = gapsOf(copies);
+    std::vector<LayerRange> remaining = uncoveredRanges(copies);
+    while (!remaining.empty() && coverWithIdleEngine(model, group, remaining.front(), tuning, copies, orders) > 0) {
+        remaining = uncoveredRanges(copies);
     }
-    if (gaps.empty()) {
+    if (remaining.empty()) {
         return true;
     }
     const bool isChanging = std::any_of(group.begin(), group.end(), [](const PlacedEngine &engine) {
-        return engine.isFixed;
+        return engine.hasPendingOrder;
     });
     // A cut around engines that can't be ordered now would move most of the others; theirs are done within seconds.
     if (!isChanging) {
-        recut(model, group, tuning, copies, orders);
+        repartition(model, group, tuning, copies, orders);
     }
     return false;
 }
--- a/src/policy/coverage_repair.h
+++ b/src/policy/coverage_repair.h
@@ -8,6 +8,6 @@
 
 /// Gives layers that nobody holds to empty engines, else to others of the group. Returns whether all layers had holders, or
 /// have them with empty engines alone.
-bool repairGaps(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies, std::vector<PlacementOrder> &orders);
+bool repairCoverage(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies, std::vector<PlacementOrder> &orders);
 
 } // namespace Parsleytrail
--- a/src/policy/cross_data_center_budget.h
+++ b/src/policy/cross_data_center_budget.h
@@ -17,18 +17,18 @@
 {
 
 /// Part of the pipe's capacity that chains may use: tokens come in bursts, and a transfer waits for all before it.
-constexpr double pipeUse = 0.6;
+constexpr double linkUtilizationLimit = 0.6;
 /// Unused capacity that is saved up, as a time of refill.
-constexpr std::chrono::duration<double> longestSaving{1.0};
+constexpr std::chrono::duration<double> burstDuration{1.0};
 
 /// The part of one of `entries` that share the pipe evenly, as they do not coordinate. Its tokens are bytes; below zero
 /// while what crossed last is paid back. Without a known capacity it has no rate, and crossing is not limited.
-RateBudget makeCrossingBudget(const EngineModel &model, int entries);
+RateBudget makeCrossDataCenterBudget(const EngineModel &model, int entries);
 /// Whether anything is left. What a chain takes may be more than that: it is paid back before the next one.
-bool mayCross(RateBudget &budget, TimePoint now);
-void noteCrossing(RateBudget &budget, double bytes);
+bool hasCrossDataCenterBudget(RateBudget &budget, TimePoint now);
+void consumeCrossDataCenterBudget(RateBudget &budget, double bytes);
 
 /// Activations that a request sends between data centres on this chain, bytes; 0 for a chain inside one.
-double crossingBytes(const Fleet &fleet, const EngineModel &model, const std::vector<ChainPart> &chain, const StreamDemand &demand);
+double crossDataCenterBytes(const Fleet &fleet, const EngineModel &model, const std::vector<ChainStage> &chain, const StreamDemand &demand);
 
 } // namespace Parsleytrail
--- a/src/policy/engine_group.cpp
+++ b/src/policy/engine_group.cpp
@@ -48,9 +48,9 @@
     return groups;
 }
 
-double kvStreamLayerMb(const EngineModel &model)
+double kvMbPerStreamLayer(const EngineModel &model)
 {
-    return (model.usualPromptTokens + model.usualAnswerTokens) * model.kvTokenBytes / model.layers / 1e6;
+    return (model.meanPromptTokens + model.meanAnswerTokens) * model.kvTokenBytes / model.layers / 1e6;
 }
 
 std::vector<int> copiesOfLayers(const EngineModel &model, const EngineGroup &group)
@@ -71,13 +71,13 @@
 bool servesAllLayers(const EngineModel &model, EngineGroup group)
 {
     for (PlacedEngine &engine : group) {
-        engine.isLeaving = engine.isDead;
+        engine.isLeaving = engine.isUnreachable;
     }
     const std::vector<int> copies = copiesOfLayers(model, group);
     return std::find(copies.begin(), copies.end(), 0) == copies.end();
 }
 
-std::vector<LayerRange> gapsOf(const std::vector<int> &copies)
+std::vector<LayerRange> uncoveredRanges(const std::vector<int> &copies)
 {
     std::vector<LayerRange> gaps;
     for (int layer = 0; layer < static_cast<int>(copies.size()); ++layer) {
@@ -92,7 +92,7 @@
     return gaps;
 }
 
-void assign(PlacedEngine &engine, LayerRange layers, const char *reason, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
+void assignLayers(PlacedEngine &engine, LayerRange layers, const char *reason, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
 {
     for (int layer = engine.layers.from; layer < engine.layers.to; ++layer) {
         --copies[layer];
--- a/src/policy/engine_group.h
+++ b/src/policy/engine_group.h
@@ -21,17 +21,17 @@
 /// Layers that a share of an engine's memory holds.
 int layersThatFit(const EngineModel &model, const PlacedEngine &engine, double share);
 /// KV cache of a usual stream in one layer, MB; 0 if usual requests are not known.
-double kvStreamLayerMb(const EngineModel &model);
+double kvMbPerStreamLayer(const EngineModel &model);
 
 PlacedEngine *findEngine(EngineGroup &group, const TargetId &id);
 /// For each layer how many engines that stay hold it.
 std::vector<int> copiesOfLayers(const EngineModel &model, const EngineGroup &group);
 /// Layers without a copy.
-std::vector<LayerRange> gapsOf(const std::vector<int> &copies);
+std::vector<LayerRange> uncoveredRanges(const std::vector<int> &copies);
 /// Whether the engines that answer, draining ones too, hold all layers.
 bool servesAllLayers(const EngineModel &model, EngineGroup group);
 
 /// Gives an engine another range, and notes the order.
-void assign(PlacedEngine &engine, LayerRange layers, const char *reason, std::vector<int> &copies, std::vector<PlacementOrder> &orders);
+void assignLayers(PlacedEngine &engine, LayerRange layers, const char *reason, std::vector<int> &copies, std::vector<PlacementOrder> &orders);
 
 } // namespace Parsleytrail
--- a/src/policy/fallback_leader.cpp
+++ b/src/policy/fallback_leader.cpp
@@ -5,24 +5,24 @@
 namespace Parsleytrail
 {
 
-bool mayOrderWithoutLease(const DutyView &view)
+bool mayOrderWithoutLease(const FallbackLeaderView &view)
 {
     if (!view.isStoreLost) {
         return false;
     }
-    const bool isReached = std::any_of(view.peers.begin(), view.peers.end(), [](const DutyPeer &peer) {
+    const bool isStoreReachableByPeer = std::any_of(view.peers.begin(), view.peers.end(), [](const FallbackLeaderPeer &peer) {
         return !peer.isStoreLost;
     });
-    const bool isDone = std::any_of(view.peers.begin(), view.peers.end(), [&](const DutyPeer &peer) {
+    const bool hasOtherLeader = std::any_of(view.peers.begin(), view.peers.end(), [&](const FallbackLeaderPeer &peer) {
         return peer.isOrdering && !peer.isDraining && (!view.isOrdering || peer.id < view.self);
     });
-    if (isReached || isDone) {
+    if (isStoreReachableByPeer || hasOtherLeader) {
         return false;
     }
-    const bool isFirst = std::none_of(view.peers.begin(), view.peers.end(), [&](const DutyPeer &peer) {
+    const bool isFirst = std::none_of(view.peers.begin(), view.peers.end(), [&](const FallbackLeaderPeer &peer) {
         return !peer.isDraining && peer.id < view.self;
     });
-    return view.heldLast || view.isOrdering || (isFirst && view.storeLostFor >= leasesOverAfter);
+    return view.wasLastLeaseHolder || view.isOrdering || (isFirst && view.storeLostFor >= leaseExpiryBound);
 }
 
 } // namespace Parsleytrail
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -5,34 +5,34 @@
 namespace Parsleytrail
 {
 
-bool noteListed(Fleet &fleet, const ListedTarget &listed, TimePoint now)
+bool recordRegistration(Fleet &fleet, const RegisteredTarget &registered, TimePoint now)
 {
-    const auto it = fleet.targets.find(listed.id);
+    const auto it = fleet.targets.find(registered.id);
     if (it == fleet.targets.end()) {
-        Target &added = fleet.targets[listed.id];
-        added.listed = listed;
-        added.listedAt = now;
-        added.hasReturned = !fleet.knownAddresses.insert(listed.address).second;
+        Target &added = fleet.targets[registered.id];
+        added.registered = registered;
+        added.registeredAt = now;
+        added.isRestart = !fleet.knownAddresses.insert(registered.address).second;
         return true;
     }
     Target &known = it->second;
-    if (listed.startedAtMs < known.listed.startedAtMs) {
+    if (registered.startedAtMs < known.registered.startedAtMs) {
         return false;
     }
-    const bool hasRestarted = listed.startedAtMs > known.listed.startedAtMs;
+    const bool hasRestarted = registered.startedAtMs > known.registered.startedAtMs;
     const int openRequests = known.openRequests;
     if (hasRestarted) {
         // Failures and orders of the start before say nothing of this one; open requests end by themselves.
         known = Target();
         known.openRequests = openRequests;
-        known.listedAt = now;
-        known.hasReturned = true;
+        known.registeredAt = now;
+        known.isRestart = true;
     }
-    known.listed = listed;
+    known.registered = registered;
     return true;
 }
 
-void noteRemoved(Fleet &fleet, const TargetId &id)
+void recordRemoval(Fleet &fleet, const TargetId &id)
 {
     fleet.targets.erase(id);
 }
@@ -53,43 +53,43 @@
 {
     Target *found = nullptr;
     for (auto &[id, target] : fleet.targets) {
-        const bool isNewer = !found || target.listed.startedAtMs > found->listed.startedAtMs;
-        if (target.listed.address == address && isNewer) {
+        const bool isNewer = !found || target.registered.startedAtMs > found->registered.startedAtMs;
+        if (target.registered.address == address && isNewer) {
             found = &target;
         }
     }
     return found;
 }
 
-int allOpenRequests(const Target &target)
+int totalOpenRequests(const Target &target)
 {
     return target.openRequests + target.peersOpenRequests;
 }
 
 bool isUsable(const Target &target, TimePoint now)
 {
-    return !target.listed.isDraining && !target.needsProbe && now >= target.avoidUntil;
+    return !target.registered.isDraining && !target.needsProbe && now >= target.avoidUntil;
 }
 
-void noteFailure(Target &target, TimePoint now)
+void recordFailure(Target &target, TimePoint now)
 {
     const int doublings = std::min(target.failuresInRow, 8);
-    const milliseconds pause = std::min(firstAvoidance * (1 << doublings), longestAvoidance);
+    const milliseconds pause = std::min(initialFailureBackoff * (1 << doublings), maxFailureBackoff);
     target.avoidUntil = now + pause;
     ++target.failuresInRow;
 }
 
-void noteRefusal(Target &target, TimePoint now)
+void recordRefusal(Target &target, TimePoint now)
 {
     const int doublings = std::min(target.refusalsInRow, 8);
-    const milliseconds pause = std::min(firstRefusalPause * (1 << doublings), longestRefusalPause);
+    const milliseconds pause = std::min(initialRefusalBackoff * (1 << doublings), maxRefusalBackoff);
     target.avoidUntil = std::max(target.avoidUntil, now + pause);
     ++target.refusalsInRow;
 }
 
 bool isFailing(const Target &target, TimePoint now)
 {
-    return target.failuresInRow > 0 && !target.listed.isDraining && !isUsable(target, now);
+    return target.failuresInRow > 0 && !target.registered.isDraining && !isUsable(target, now);
 }
 
 bool isAvoided(const Target &target, TimePoint now)
@@ -97,15 +97,15 @@
     return isFailing(target, now) || (target.refusalsInRow > 0 && now < target.avoidUntil);
 }
 
-void noteAnswer(Target &target)
+void recordProbeResponse(Target &target)
 {
-    target.silencesInRow = 0;
+    target.probeTimeoutsInRow = 0;
     target.needsProbe = false;
 }
 
-void noteSuccess(Target &target)
+void recordSuccess(Target &target)
 {
-    target.silencesInRow = 0;
+    target.probeTimeoutsInRow = 0;
     target.failuresInRow = 0;
     target.refusalsInRow = 0;
     target.needsProbe = false;
--- a/src/policy/idle_engine_assignment.cpp
+++ b/src/policy/idle_engine_assignment.cpp
@@ -6,62 +6,62 @@
 {
 
 /// Streams that one of an engine's layers has room for, if it holds that many.
-static double streamsOfEngine(const EngineModel &model, const PlacedEngine &engine, int layers)
+static double streamCapacityOfEngine(const EngineModel &model, const PlacedEngine &engine, int layers)
 {
     // Where usual requests are not known, room is compared by memory alone.
-    const double streamLayerMb = kvStreamLayerMb(model) > 0 ? kvStreamLayerMb(model) : 1;
+    const double streamLayerMb = kvMbPerStreamLayer(model) > 0 ? kvMbPerStreamLayer(model) : 1;
     const double freeMb = std::max(0.0, memoryOf(model, engine) - layers * model.layerMb);
     return freeMb / (layers * streamLayerMb);
 }
 
 /// The same for one layer: chains begin at layer 0, and an engine takes a limited number of requests that begin there.
-static double streamsAtLayer(const EngineModel &model, double streams, int layer)
+static double streamCapacityAtLayer(const EngineModel &model, double streams, int layer)
 {
     return layer == 0 && model.batchSlots > 0 ? std::min<double>(streams, model.batchSlots) : streams;
 }
 
 /// Streams that each layer has room for at all of its holders, with engines that hold much counting little.
-static std::vector<double> streamsOfLayers(const EngineModel &model, const EngineGroup &group)
+static std::vector<double> streamCapacityByLayer(const EngineModel &model, const EngineGroup &group)
 {
     std::vector<double> streams(model.layers, 0);
     for (const PlacedEngine &engine : group) {
         if (engine.isLeaving || engine.layers.count() == 0) {
             continue;
         }
-        const double room = streamsOfEngine(model, engine, engine.layers.count());
+        const double capacity = streamCapacityOfEngine(model, engine, engine.layers.count());
         const LayerRange held = engine.layers.within(model.layers);
         for (int layer = held.from; layer < held.to; ++layer) {
-            streams[layer] += streamsAtLayer(model, room, layer);
+            streams[layer] += streamCapacityAtLayer(model, capacity, layer);
         }
     }
     return streams;
 }
 
 /// How much a layer with this room holds chains back: the narrowest layer counts most, then how many are as narrow.
-static double needOf(double streams)
+static double bottleneckWeight(double streams)
 {
-    const double need = 1 / (1 + streams);
-    return need * need * need * need;
+    const double weight = 1 / (1 + streams);
+    return weight * weight * weight * weight;
 }
 
 /// The range for an empty engine after which the layers need least. It may be longer or shorter than the engine's usual
 /// share: one layer left out of a narrow stretch holds all chains back as much as the whole stretch did.
-static LayerRange neediestRange(const EngineModel &model, const PlacedEngine &engine, const std::vector<double> &streams, const PlacementTuning &tuning)
+static LayerRange mostRelievingRange(const EngineModel &model, const PlacedEngine &engine, const std::vector<double> &streams, const PlacementTuning &tuning)
 {
-    std::vector<double> needs;
-    needs.reserve(streams.size());
-    for (const double room : streams) {
-        needs.push_back(needOf(room));
+    std::vector<double> weights;
+    weights.reserve(streams.size());
+    for (const double capacity : streams) {
+        weights.push_back(bottleneckWeight(capacity));
     }
     LayerRange best;
     double bestRelief = 0;
-    const int most = layersThatFit(model, engine, tuning.emergencyShare);
-    for (int count = 1; count <= most; ++count) {
-        const double room = streamsOfEngine(model, engine, count);
+    const int maxLayers = layersThatFit(model, engine, tuning.emergencyShare);
+    for (int count = 1; count <= maxLayers; ++count) {
+        const double capacity = streamCapacityOfEngine(model, engine, count);
         std::vector<double> reliefs = {0}; // sums over the layers below each
         for (int layer = 0; layer < model.layers; ++layer) {
-            const double relieved = needOf(streams[layer] + streamsAtLayer(model, room, layer));
-            reliefs.push_back(reliefs.back() + needs[layer] - relieved);
+            const double relieved = bottleneckWeight(streams[layer] + streamCapacityAtLayer(model, capacity, layer));
+            reliefs.push_back(reliefs.back() + weights[layer] - relieved);
         }
         for (int from = 0; from + count <= model.layers; ++from) {
             const double relief = reliefs[from + count] - reliefs[from];
@@ -74,16 +74,16 @@
     return best;
 }
 
-void employEmptyEngines(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
-                        std::vector<PlacementOrder> &orders)
+void assignIdleEngines(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
+                       std::vector<PlacementOrder> &orders)
 {
     for (PlacedEngine &engine : group) {
-        if (engine.isLeaving || engine.isNew || engine.isFixed || engine.layers.count() > 0) {
+        if (engine.isLeaving || engine.isNew || engine.hasPendingOrder || engine.layers.count() > 0) {
             continue;
         }
-        const LayerRange range = neediestRange(model, engine, streamsOfLayers(model, group), tuning);
+        const LayerRange range = mostRelievingRange(model, engine, streamCapacityByLayer(model, group), tuning);
         if (range.count() > 0) {
-            assign(engine, range, "empty engine employed", copies, orders);
+            assignLayers(engine, range, "empty engine employed", copies, orders);
         }
     }
 }
--- a/src/policy/idle_engine_assignment.h
+++ b/src/policy/idle_engine_assignment.h
@@ -8,7 +8,7 @@
 
 /// Gives each empty engine the part of the model that holds chains back most: where an engine was lost, or took over the
 /// layers of a lost neighbour.
-void employEmptyEngines(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
-                        std::vector<PlacementOrder> &orders);
+void assignIdleEngines(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
+                       std::vector<PlacementOrder> &orders);
 
 } // namespace Parsleytrail
--- a/src/policy/initial_placement.h
+++ b/src/policy/initial_placement.h
@@ -7,6 +7,6 @@
 {
 
 /// Adds the orders of the first plan; none if the engines' memory does not hold the model.
-void planFirst(const EngineModel &model, const EngineGroup &group, const PlacementTuning &tuning, std::vector<PlacementOrder> &orders);
+void planInitialPlacement(const EngineModel &model, const EngineGroup &group, const PlacementTuning &tuning, std::vector<PlacementOrder> &orders);
 
 } // namespace Parsleytrail
--- a/src/policy/load_table.cpp
+++ b/src/policy/load_table.cpp
@@ -8,7 +8,7 @@
 namespace Parsleytrail
 {
 
-std::uint32_t loadKey(const ListedTarget &target)
+std::uint32_t loadKey(const RegisteredTarget &target)
 {
     return static_cast<std::uint32_t>(hash64(target.id.value, target.startedAtMs));
 }
--- a/src/policy/load_table.h
+++ b/src/policy/load_table.h
@@ -21,7 +21,7 @@
 
 /// Key of one start of a target in messages. Two targets of one key would count each other's load, which misleads choices
 /// and breaks nothing; among 3,000 targets that is one fleet in a thousand.
-std::uint32_t loadKey(const ListedTarget &target);
+std::uint32_t loadKey(const RegisteredTarget &target);
 
 /// Load at one target, of any number of entries.
 struct LoadSum {
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -34,18 +34,18 @@
             return engine.layers.count() == 0;
         });
         if (isEmpty) {
-            planFirst(model, group, tuning, orders);
+            planInitialPlacement(model, group, tuning, orders);
         } else {
             std::vector<int> copies = copiesOfLayers(model, group);
-            if (repairGaps(model, group, tuning, copies, orders)) {
-                employEmptyEngines(model, group, tuning, copies, orders);
+            if (repairCoverage(model, group, tuning, copies, orders)) {
+                assignIdleEngines(model, group, tuning, copies, orders);
             }
         }
     }
     return lastOrders(orders);
 }
 
-std::vector<LayerRange> missingLayers(const EngineModel &model, const std::vector<PlacedEngine> &engines, const std::string &dataCenter)
+std::vector<LayerRange> uncoveredLayers(const EngineModel &model, const std::vector<PlacedEngine> &engines, const std::string &dataCenter)
 {
     EngineGroup group;
     for (const PlacedEngine &engine : engines) {
@@ -53,7 +53,7 @@
             group.push_back(engine);
         }
     }
-    return gapsOf(copiesOfLayers(model, group));
+    return uncoveredRanges(copiesOfLayers(model, group));
 }
 
 } // namespace Parsleytrail
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -18,14 +18,14 @@
 
 /// An engine as the planner sees it.
 struct PlacedEngine {
-    TargetId id;            ///< names it in orders
-    std::string dataCenter; ///< where it stands
-    std::string kind;       ///< kind of accelerator
-    LayerRange layers;      ///< ordered, or held if nothing is on its way; empty: none
-    bool isFixed = false;   ///< an order is being carried out: takes no other before it is done
-    bool isNew = false;     ///< came a moment ago: kept free for the layers of the engine that it may replace
-    bool isLeaving = false; ///< draining or dead: what it holds is about to be lost
-    bool isDead = false;    ///< does not answer: what it holds serves nobody
+    TargetId id;                  ///< names it in orders
+    std::string dataCenter;       ///< where it stands
+    std::string kind;             ///< kind of accelerator
+    LayerRange layers;            ///< ordered, or held if nothing is on its way; empty: none
+    bool hasPendingOrder = false; ///< an order is being carried out: takes no other before it is done
+    bool isNew = false;           ///< came a moment ago: kept free for the layers of the engine that it may replace
+    bool isLeaving = false;       ///< draining or dead: what it holds is about to be lost
+    bool isUnreachable = false;   ///< does not answer: what it holds serves nobody
 };
 
 /// An engine that should hold another range.
@@ -51,15 +51,15 @@
     double fillCost = 3;
     /// Cost of giving up a layer that nobody else holds, against that of loading one: chains that work break, and the engine
     /// takes new layers only when the streams that pass through it have ended, which takes as long as some twenty loads.
-    double giveUpCost = 5;
+    double releaseCost = 5;
     /// The same for a layer that another engine holds: nothing breaks, but new layers still wait for the streams in it.
-    double giveUpSharedCost = 1;
+    double releaseSharedCost = 1;
 };
 
 /// Orders that bring the engines to the plan; empty if nothing needs to change.
 std::vector<PlacementOrder> planPlacement(const EngineModel &model, const std::vector<PlacedEngine> &engines, const PlacementTuning &tuning = {});
 
 /// Layers that no engine of the group of `dataCenter` holds; for status and tests.
-std::vector<LayerRange> missingLayers(const EngineModel &model, const std::vector<PlacedEngine> &engines, const std::string &dataCenter);
+std::vector<LayerRange> uncoveredLayers(const EngineModel &model, const std::vector<PlacedEngine> &engines, const std::string &dataCenter);
 
 } // namespace Parsleytrail
--- a/src/policy/routes.cpp
+++ b/src/policy/routes.cpp
@@ -55,7 +55,7 @@
     for (const WeightedService &candidate : route.services) {
         total += std::max(candidate.weight, 0.0);
     }
-    double rest = draw * total;
+    double remaining = draw * total;
     const ServiceSpec *last = nullptr;
     for (const WeightedService &candidate : route.services) {
         const auto it = table.services.find(candidate.service);
@@ -63,8 +63,8 @@
             continue;
         }
         last = &it->second;
-        rest -= candidate.weight;
-        if (rest < 0) {
+        remaining -= candidate.weight;
+        if (remaining < 0) {
             return last;
         }
     }
--- a/src/policy/routes.h
+++ b/src/policy/routes.h
@@ -51,10 +51,10 @@
 
 /// A kind of accelerator and how it compares with the reference accelerator of the engine's constants.
 struct AcceleratorKind {
-    std::string name;      ///< as engines report it
-    double memoryMb = 0;   ///< memory for layers and KV cache together
-    double stepFactor = 1; ///< times as long for a decoding step
-    double readFactor = 1; ///< times as long for reading a prompt
+    std::string name;                 ///< as engines report it
+    double memoryMb = 0;              ///< memory for layers and KV cache together
+    double decodeSlowdownFactor = 1;  ///< times as long for a decoding step
+    double prefillSlowdownFactor = 1; ///< times as long for reading a prompt
 };
 
 /// Constants of the engines of a service whose model is held in layer ranges.
@@ -65,15 +65,15 @@
     double kvTokenBytes = 0;            ///< KV cache of one token over all layers
     double stepMs = 0;                  ///< one decoding step of all layers on the reference accelerator
     double stepMsPerSequence = 0;       ///< more for each sequence that is decoding
-    double readTokensPerMs = 1;         ///< prompt tokens read in a millisecond over all layers
+    double prefillTokensPerMs = 1;      ///< prompt tokens read in a millisecond over all layers
     int stepsPerPass = 1;               ///< decoding steps in one pass, which is one event
     double activationBytes = 0;         ///< passed on for each token from an engine of a chain to the next
-    double pipeMbps = 0;                ///< that all activations between data centres share
+    double dataCenterLinkMbps = 0;      ///< that all activations between data centres share
     int batchSlots = 0;                 ///< sequences that a first engine takes at once
     double loadSeconds = 0;             ///< loading all layers
-    int loadsAtOnce = 1;                ///< loads that run side by side at full speed
-    double usualPromptTokens = 0;       ///< mean
-    double usualAnswerTokens = 0;       ///< mean
+    int maxConcurrentLoads = 1;         ///< loads that run side by side at full speed
+    double meanPromptTokens = 0;        ///< mean
+    double meanAnswerTokens = 0;        ///< mean
     std::vector<AcceleratorKind> kinds; ///< all kinds in use
 };
 const AcceleratorKind *findKind(const EngineModel &model, std::string_view name);
--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -35,9 +35,9 @@
     {
         // A call lasts milliseconds; its target goes on serving for longer.
     }
-    const std::vector<ChainPart> &chain() const override
+    const std::vector<ChainStage> &chain() const override
     {
-        static const std::vector<ChainPart> none;
+        static const std::vector<ChainStage> none;
         return none;
     }
     TimePoint progressAt() const override
@@ -83,14 +83,14 @@
     std::uniform_real_distribution<double> jitter(0, 0.05);
     for (auto &[id, target] : m_context.fleet.targets) {
         const bool isAsked = std::find(m_failed.begin(), m_failed.end(), id) != m_failed.end();
-        if (target.listed.service != m_request.service->name || target.listed.isDraining || isAsked) {
+        if (target.registered.service != m_request.service->name || target.registered.isDraining || isAsked) {
             continue;
         }
-        const double open = allOpenRequests(target);
+        const double open = totalOpenRequests(target);
         constexpr double remoteCost = 0.3;  // less than two more requests on a target of six slots
         constexpr double avoidedCost = 100; // only if there is no other
-        double cost = open / std::max(target.listed.slots, 1) + jitter(m_context.random);
-        cost += target.listed.dataCenter == m_context.settings.dataCenter ? 0 : remoteCost;
+        double cost = open / std::max(target.registered.slots, 1) + jitter(m_context.random);
+        cost += target.registered.dataCenter == m_context.settings.dataCenter ? 0 : remoteCost;
         cost += isUsable(target, now) ? 0 : avoidedCost;
         if (!best || cost < bestCost) {
             best = &target;
@@ -111,11 +111,11 @@
         }
         return end();
     }
-    m_target = target->listed.id;
+    m_target = target->registered.id;
     ++target->openRequests;
     m_isCounted = true;
     m_body.clear();
-    sendTo(m_target, target->listed.address, {});
+    sendTo(m_target, target->registered.address, {});
 }
 
 void CallForwarding::endAttempt()
@@ -170,7 +170,7 @@
     const bool isGood = head.status < 500 && isGenuine(names, head, m_request.attemptId);
     if (isGood && !promisesNotRun(head.status)) {
         if (Target *target = findTarget(m_context.fleet, m_target)) {
-            noteSuccess(*target);
+            recordSuccess(*target);
         }
         return passOn();
     }
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -72,7 +72,7 @@
 
 RateBudget &crossingBudget(RelayContext &context, const ServiceSpec &service)
 {
-    const RateBudget newest = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
+    const RateBudget newest = makeCrossDataCenterBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
     RateBudget &budget = context.crossingBudgets[service.name];
     budget.perSecond = newest.perSecond;
     budget.burst = newest.burst;
@@ -87,18 +87,18 @@
     }
     const TimePoint now = context.clock.now();
     const bool isNew = isUsable(*target, now);
-    noteFailure(*target, now);
+    recordFailure(*target, now);
     // A request sent to a dead engine stalls with its whole chain; a question costs next to nothing.
-    target->needsProbe = !target->listed.accelerator.empty();
+    target->needsProbe = !target->registered.accelerator.empty();
     if (target->needsProbe && target->failuresInRow == 1) {
         // One reset may be a lost answer of an engine that works: it is back as soon as it answers a question. Without it
         // the first engine of a data centre's only chain would be avoided, and the chain with it, after each lost answer.
         target->avoidUntil = now;
     }
-    context.connections.drop(target->listed.address);
+    context.connections.drop(target->registered.address);
     if (isNew) {
         logEvent(Event::TargetAvoided, {{"target", id.value},
-                                        {"address", target->listed.address.toString()},
+                                        {"address", target->registered.address.toString()},
                                         {"reason", std::string(reason)},
                                         {"failures", std::to_string(target->failuresInRow)}});
     }
--- a/src/relay/dialect.h
+++ b/src/relay/dialect.h
@@ -72,16 +72,16 @@
     /// A whole configuration. Fails with the step "decode configuration".
     virtual Result<RouteTable> decodeConfiguration(std::string_view bytes) const = 0;
     /// A target's entry in the registry. Fails with the step "decode target" for entries that name no target to use.
-    virtual Result<ListedTarget> decodeTarget(const std::string &id, std::string_view bytes) const = 0;
+    virtual Result<RegisteredTarget> decodeTarget(const std::string &id, std::string_view bytes) const = 0;
 
     virtual HttpClientRequest reportRequest() const = 0;
     /// Fails with the step "decode report".
     virtual Result<EngineReport> decodeReport(std::string_view bytes) const = 0;
     virtual HttpClientRequest placeRequest(const PlaceOrder &order) const = 0;
     /// Order to a first engine: a running request goes on through another chain with the same first part.
-    virtual HttpClientRequest moveRequest(const std::string &attemptId, const std::vector<ChainPart> &chain) const = 0;
+    virtual HttpClientRequest moveRequest(const std::string &attemptId, const std::vector<ChainStage> &chain) const = 0;
     /// Value of the chain header.
-    virtual std::string encodeChain(const std::vector<ChainPart> &chain) const = 0;
+    virtual std::string encodeChain(const std::vector<ChainStage> &chain) const = 0;
 
     /// Row and table of the operator's configuration, and table of the targets.
     virtual std::string configurationTable() const = 0;
--- a/src/relay/engine_prober.cpp
+++ b/src/relay/engine_prober.cpp
@@ -59,7 +59,7 @@
 {
     const TimePoint now = context.clock.now();
     for (const auto &[id, target] : context.fleet.targets) {
-        const bool isSlow = target.slowness > noticeableSlowness && now - target.reportedAt >= slowPoll;
+        const bool isSlow = target.slowdownFactor > noticeableSlowness && now - target.reportedAt >= slowPoll;
         if (isSlow || (target.needsProbe && now >= target.avoidUntil)) {
             ask(id, probeTimeout);
         }
@@ -70,14 +70,14 @@
 {
     const Target *target = findTarget(context.fleet, id);
     // Targets of plain services know no report and would answer it as a failure.
-    const bool isEngine = target && !target->listed.accelerator.empty();
+    const bool isEngine = target && !target->registered.accelerator.empty();
     if (!isEngine || !asked.insert(id).second) {
         return;
     }
     ++context.metrics.probes;
     HttpClientRequest request = context.dialect.reportRequest();
     request.timeout = timeout;
-    client.fetch(target->listed.address, std::move(request), [this, id](const HttpResult &result) {
+    client.fetch(target->registered.address, std::move(request), [this, id](const HttpResult &result) {
         asked.erase(id);
         takeAnswer(id, result);
     });
@@ -109,22 +109,22 @@
 void EngineProber::Private::takeReport(Target &target, const EngineReport &report)
 {
     if (target.needsProbe) {
-        logEvent(Event::TargetUsable, {{"target", target.listed.id.value}, {"failures", std::to_string(target.failuresInRow)}});
+        logEvent(Event::TargetUsable, {{"target", target.registered.id.value}, {"failures", std::to_string(target.failuresInRow)}});
     }
-    noteAnswer(target);
-    target.isReported = true;
-    target.slowness = std::max(1.0, report.slowness);
+    recordProbeResponse(target);
+    target.hasReportedOrders = true;
+    target.slowdownFactor = std::max(1.0, report.slowness);
     target.reportedAt = context.clock.now();
-    const bool isNewer = report.ordersAccepted >= target.ordersAccepted || report.startedAtMs > target.listed.startedAtMs;
+    const bool isNewer = report.ordersAccepted >= target.ordersAccepted || report.startedAtMs > target.registered.startedAtMs;
     if (isNewer) {
-        target.listed.layers = report.layers;
+        target.registered.layers = report.layers;
         target.ordersAccepted = report.ordersAccepted;
-        target.isBusy = report.isBusy;
+        target.isExecutingOrder = report.isBusy;
     }
     for (const StalledRequest &stalled : report.stalled) {
         const Target *dead = findTargetAt(context.fleet, stalled.address);
         if (dead && isUsable(*dead, context.clock.now())) {
-            noteDead(dead->listed.id, "requests wait for it");
+            noteDead(dead->registered.id, "requests wait for it");
         }
     }
     handlers.onReport();
@@ -134,7 +134,7 @@
 {
     avoidTarget(context, id, reason);
     if (Target *target = findTarget(context.fleet, id)) {
-        ++target->silencesInRow;
+        ++target->probeTimeoutsInRow;
     }
     handlers.onDead(id);
 }
--- a/src/relay/forwarding.h
+++ b/src/relay/forwarding.h
@@ -45,7 +45,7 @@
     /// Lets go of caller and target without a word: the relay is being destroyed. They hold each other otherwise.
     virtual void abandon() = 0;
     /// Engines that the request passes through now; empty if it waits for no engine.
-    virtual const std::vector<ChainPart> &chain() const = 0;
+    virtual const std::vector<ChainStage> &chain() const = 0;
     /// When it last got on: the start of the attempt or its last event.
     virtual TimePoint progressAt() const = 0;
 };
@@ -63,7 +63,7 @@
     /// Asks an engine for a report: what it holds, and which engine the requests that it began wait for.
     std::function<void(const TargetId &engine)> askEngine;
     /// Tells a request's first engine to go on through another chain; calls back whether it does.
-    std::function<void(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done)> moveStream;
+    std::function<void(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done)> moveStream;
 };
 
 /// A stream without an event for this long has stalled: a small multiple of the usual gap, as gaps are even within a chain.
--- a/src/relay/placement_duty.cpp
+++ b/src/relay/placement_duty.cpp
@@ -122,7 +122,7 @@
 {
     std::erase_if(pending, [&](const auto &entry) {
         const Target *target = findTarget(context.fleet, entry.first);
-        return !target || target->listed.layers == entry.second.layers || now - entry.second.sentAt > orderLifetime;
+        return !target || target->registered.layers == entry.second.layers || now - entry.second.sentAt > orderLifetime;
     });
     for (auto &[id, order] : pending) {
         if (now - order.polledAt >= orderPoll) {
@@ -148,7 +148,7 @@
 void PlacementDuty::Private::askBusy()
 {
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.isBusy && !pending.contains(id)) {
+        if (target.isExecutingOrder && !pending.contains(id)) {
             prober.ask(id);
         }
     }
@@ -159,7 +159,7 @@
 /// Requests that fail say nothing: answers are lost at engines that work, and giving their layers to others breaks chains.
 static bool isLost(const Target &target)
 {
-    return target.silencesInRow >= silencesUntilLost || (target.silencesInRow > 0 && target.peersAvoiding > 0);
+    return target.probeTimeoutsInRow >= silencesUntilLost || (target.probeTimeoutsInRow > 0 && target.peersAvoiding > 0);
 }
 
 /// Whether few enough engines fail that the fault is theirs. An entry that is cut off sees all of them fail; its orders
@@ -169,7 +169,7 @@
     int engines = 0;
     int failed = 0;
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.listed.service == service.name) {
+        if (target.registered.service == service.name) {
             ++engines;
             failed += isLost(target) ? 1 : 0;
         }
@@ -183,22 +183,22 @@
     const bool trustsFailures = seesMostEngines(service);
     std::vector<PlacedEngine> engines;
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.listed.service != service.name) {
+        if (target.registered.service != service.name) {
             continue;
         }
         PlacedEngine engine;
         engine.id = id;
-        engine.dataCenter = target.listed.dataCenter;
-        engine.kind = target.listed.accelerator;
-        engine.layers = target.listed.layers;
-        engine.isNew = !target.hasReturned && now - target.listedAt < newcomerTime;
-        engine.isDead = trustsFailures && isLost(target);
-        engine.isLeaving = target.listed.isDraining || engine.isDead || target.refusalsInRow >= refusalsUntilLeaving;
-        engine.isFixed = target.isBusy; // by an order of another holder of the duty, or one whose answer was lost
+        engine.dataCenter = target.registered.dataCenter;
+        engine.kind = target.registered.accelerator;
+        engine.layers = target.registered.layers;
+        engine.isNew = !target.isRestart && now - target.registeredAt < newcomerTime;
+        engine.isUnreachable = trustsFailures && isLost(target);
+        engine.isLeaving = target.registered.isDraining || engine.isUnreachable || target.refusalsInRow >= refusalsUntilLeaving;
+        engine.hasPendingOrder = target.isExecutingOrder; // by an order of another holder of the duty, or one whose answer was lost
         const auto order = pending.find(id);
         if (order != pending.end()) {
             engine.layers = order->second.layers;
-            engine.isFixed = true;
+            engine.hasPendingOrder = true;
         }
         engines.push_back(engine);
     }
@@ -243,7 +243,7 @@
             continue;
         }
         // An order that names a wrong count is refused, and the engine's layers stay missing for another round.
-        if (!target->isReported && isStarted(engines)) {
+        if (!target->hasReportedOrders && isStarted(engines)) {
             prober.ask(order.id);
         } else {
             send(order, now);
@@ -258,12 +258,12 @@
     ++context.metrics.orders;
     logEvent(Event::OrderSent, {{"target", order.id.value},
                                 {"layers", std::to_string(order.layers.from) + "-" + std::to_string(order.layers.to)},
-                                {"held", std::to_string(target.listed.layers.from) + "-" + std::to_string(target.listed.layers.to)},
+                                {"held", std::to_string(target.registered.layers.from) + "-" + std::to_string(target.registered.layers.to)},
                                 {"orders", std::to_string(target.ordersAccepted)},
                                 {"reason", order.reason}});
     HttpClientRequest request = context.dialect.placeRequest({order.layers, target.ordersAccepted, order.dropsStreams});
     request.timeout = orderTimeout;
-    client.fetch(target.listed.address, std::move(request), [this, id = order.id](const HttpResult &result) {
+    client.fetch(target.registered.address, std::move(request), [this, id = order.id](const HttpResult &result) {
         takeAnswer(id, result);
     });
 }
--- a/src/relay/registry.cpp
+++ b/src/relay/registry.cpp
@@ -236,11 +236,11 @@
 
 void Registry::Private::takeTarget(const Row &row)
 {
-    ListedTarget listed;
+    RegisteredTarget registered;
     Error error;
     const bool isDecoded = runCatching(
         [&]() -> Result<void> {
-            BOOST_LEAF_ASSIGN(listed, context.dialect.decodeTarget(row.key, row.value));
+            BOOST_LEAF_ASSIGN(registered, context.dialect.decodeTarget(row.key, row.value));
             return {};
         },
         error);
@@ -249,18 +249,18 @@
         return;
     }
     removals.erase(row.key);
-    const Target *known = findTarget(context.fleet, listed.id);
-    const bool isChange = !known || known->listed != listed;
-    if (!noteListed(context.fleet, listed, context.clock.now()) || !isChange) {
+    const Target *known = findTarget(context.fleet, registered.id);
+    const bool isChange = !known || known->registered != registered;
+    if (!recordRegistration(context.fleet, registered, context.clock.now()) || !isChange) {
         return;
     }
-    logEvent(Event::TargetListed, {{"target", listed.id.value},
-                                   {"service", listed.service.value},
-                                   {"address", listed.address.toString()},
-                                   {"data_center", listed.dataCenter},
-                                   {"draining", listed.isDraining ? "true" : "false"},
-                                   {"accelerator", listed.accelerator},
-                                   {"layers", layersText(listed.layers)},
+    logEvent(Event::TargetListed, {{"target", registered.id.value},
+                                   {"service", registered.service.value},
+                                   {"address", registered.address.toString()},
+                                   {"data_center", registered.dataCenter},
+                                   {"draining", registered.isDraining ? "true" : "false"},
+                                   {"accelerator", registered.accelerator},
+                                   {"layers", layersText(registered.layers)},
                                    {"revision", std::to_string(row.version)}});
     handlers.onTargets();
 }
@@ -282,9 +282,9 @@
     if (!target) {
         return;
     }
-    logEvent(Event::TargetUnlisted, {{"target", key}, {"address", target->listed.address.toString()}});
-    context.connections.drop(target->listed.address);
-    noteRemoved(context.fleet, TargetId{key});
+    logEvent(Event::TargetUnlisted, {{"target", key}, {"address", target->registered.address.toString()}});
+    context.connections.drop(target->registered.address);
+    recordRemoval(context.fleet, TargetId{key});
     handlers.onTargets();
 }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -79,7 +79,7 @@
     void takeRoutes();
     void checkForwardings();
     void askSuspects(const std::vector<ForwardingPtr> &open, TimePoint now);
-    void moveStream(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done);
+    void moveStream(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done);
     void moveFrom(const TargetId &dead);
     bool isReady();
     void acceptIfComplete();
@@ -203,13 +203,13 @@
     }
     std::map<TargetId, TimePoint> passedAt;
     for (const ForwardingPtr &forwarding : open) {
-        for (const ChainPart &part : forwarding->chain()) {
+        for (const ChainStage &part : forwarding->chain()) {
             TimePoint &at = passedAt[part.id];
             at = std::max(at, forwarding->progressAt());
         }
     }
     for (const Forwarding *forwarding : stalled) {
-        for (const ChainPart &part : forwarding->chain()) {
+        for (const ChainStage &part : forwarding->chain()) {
             if (now - passedAt[part.id] >= threshold) {
                 prober->askSuspect(part.id);
             }
@@ -217,7 +217,7 @@
     }
 }
 
-void Relay::Private::moveStream(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done)
+void Relay::Private::moveStream(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done)
 {
     ++context.metrics.orders;
     HttpClientRequest request = context.dialect.moveRequest(attemptId, chain);
@@ -269,9 +269,9 @@
 // [SECTION] Duty
 
 /// Those of the others whose word counts: the first of them, and the first that gives orders.
-static std::vector<DutyPeer> decidingPeers(const EntriesView &others)
+static std::vector<FallbackLeaderPeer> decidingPeers(const EntriesView &others)
 {
-    std::vector<DutyPeer> peers;
+    std::vector<FallbackLeaderPeer> peers;
     const bool isStoreLost = !others.isStoreReached;
     if (!others.first.isEmpty()) {
         peers.push_back({others.first.value, isStoreLost, false, false});
@@ -288,11 +288,11 @@
     if (isDraining || lease->isHeld()) {
         return !isDraining;
     }
-    DutyView view;
+    FallbackLeaderView view;
     view.self = context.settings.id;
     view.isStoreLost = registry->isStoreLost();
     view.storeLostFor = std::chrono::duration_cast<milliseconds>(context.clock.now() - registry->storeLostAt());
-    view.heldLast = lease->wasHeldLast();
+    view.wasLastLeaseHolder = lease->wasHeldLast();
     view.isOrdering = ordersWithoutStore;
     view.peers = decidingPeers(peers->others().entries);
     const bool isAllowed = mayOrderWithoutLease(view);
@@ -372,7 +372,7 @@
         data.planSoon();
     };
     data.prober = std::make_unique<EngineProber>(data.context, data.client, std::move(onProbe));
-    data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done) {
+    data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done) {
         data.moveStream(attemptId, chain, std::move(done));
     };
     data.hooks.askEngine = [&data](const TargetId &first) {
@@ -532,10 +532,10 @@
     state["followsAggregator"] = d->peers->others().isFollowed;
     state["callerConnections"] = d->sessions->count();
     for (const auto &[id, target] : context.fleet.targets) {
-        state["targets"][id.value] = {{"service", target.listed.service.value}, {"address", target.listed.address.toString()},
-                                      {"dataCenter", target.listed.dataCenter}, {"layers", {target.listed.layers.from, target.listed.layers.to}},
-                                      {"isDraining", target.listed.isDraining}, {"isUsable", isUsable(target, now)},
-                                      {"failuresInRow", target.failuresInRow},  {"openRequests", target.openRequests},
+        state["targets"][id.value] = {{"service", target.registered.service.value}, {"address", target.registered.address.toString()},
+                                      {"dataCenter", target.registered.dataCenter}, {"layers", {target.registered.layers.from, target.registered.layers.to}},
+                                      {"isDraining", target.registered.isDraining}, {"isUsable", isUsable(target, now)},
+                                      {"failuresInRow", target.failuresInRow},      {"openRequests", target.openRequests},
                                       {"kvTokenLayers", target.kvTokenLayers}};
     }
     return state.dump(2);
--- a/src/relay/relay_peers.cpp
+++ b/src/relay/relay_peers.cpp
@@ -77,12 +77,12 @@
     LoadTable loads;
     EntryState state;
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.listed.dataCenter == context.settings.dataCenter) {
-            state.nearTargets.push_back(loadKey(target.listed));
+        if (target.registered.dataCenter == context.settings.dataCenter) {
+            state.nearTargets.push_back(loadKey(target.registered));
         }
         const bool isAvoidedHere = isAvoided(target, now);
         if (target.openRequests > 0 || isAvoidedHere) {
-            loads[loadKey(target.listed)] = {target.openRequests, isAvoidedHere ? 1 : 0, target.kvTokenLayers};
+            loads[loadKey(target.registered)] = {target.openRequests, isAvoidedHere ? 1 : 0, target.kvTokenLayers};
         }
     }
     std::sort(state.nearTargets.begin(), state.nearTargets.end());
@@ -133,7 +133,7 @@
         return a.target < b.target;
     });
     for (auto &[id, target] : context.fleet.targets) {
-        const std::uint32_t key = loadKey(target.listed);
+        const std::uint32_t key = loadKey(target.registered);
         const auto load = std::lower_bound(others.loads.begin(), others.loads.end(), key, [](const EngineLoad &one, std::uint32_t wanted) {
             return one.target < wanted;
         });
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -72,7 +72,7 @@
     void checkTime(TimePoint now) override;
     void noteDeadTarget(const TargetId &id) override;
     void leaveGoingEngines() override;
-    const std::vector<ChainPart> &chain() const override
+    const std::vector<ChainStage> &chain() const override
     {
         return m_chain;
     }
@@ -83,16 +83,16 @@
 
 private:
     void readDemand();
-    ChainSituation situationNow() const;
-    std::vector<ChainPart> findChain(const ChainSituation &situation);
+    ChainSelectionContext situationNow() const;
+    std::vector<ChainStage> findChain(const ChainSelectionContext &situation);
     void startAttempt();
-    void startThrough(std::vector<ChainPart> chain);
+    void startThrough(std::vector<ChainStage> chain);
     bool startMove();
     bool isChainBroken(TimePoint now) const;
-    void takeMove(bool isMoved, int move, const std::vector<ChainPart> &before);
+    void takeMove(bool isMoved, int move, const std::vector<ChainStage> &before);
     void moveAway(std::string_view reason);
     void goOnWaiting(TimePoint now);
-    void refuseWithoutChain(const ChainSituation &situation);
+    void refuseWithoutChain(const ChainSelectionContext &situation);
     void reserve(int direction);
     void takeHead(const HttpHead &head) override;
     void takeBody(std::string &body) override;
@@ -116,7 +116,7 @@
 
     const ForwardingHooks &m_hooks;
     StreamDemand m_demand;
-    std::vector<ChainPart> m_chain;
+    std::vector<ChainStage> m_chain;
     std::set<TargetId> m_excluded;
     std::string m_body;             ///< of an answer that is no stream
     std::uint64_t m_lastEvent = 0;  ///< id of the last event passed on
@@ -153,15 +153,15 @@
     const HeaderNames &names = m_context.dialect.headers();
     const HttpHead &head = m_request.exchange->head();
     const EngineModel &model = *m_request.service->engine;
-    m_demand.promptTokens = model.usualPromptTokens;
-    m_demand.answerTokens = model.usualAnswerTokens;
+    m_demand.promptTokens = model.meanPromptTokens;
+    m_demand.answerTokens = model.meanAnswerTokens;
     const std::vector<std::string> counts = splitList(head.find(names.tokenCounts), ',');
     double most = 0;
     if (counts.size() == 2 && parseNumber(counts[0], m_demand.promptTokens) && parseNumber(counts[1], most)) {
         double estimate = 0;
         // The caller's estimate is right at the median but often far off: it is mixed with the usual length.
         if (parseNumber(head.find(names.answerEstimate), estimate)) {
-            m_demand.answerTokens = (estimate + model.usualAnswerTokens) / 2;
+            m_demand.answerTokens = (estimate + model.meanAnswerTokens) / 2;
         }
         m_demand.answerTokens = std::min(m_demand.answerTokens, most);
     }
@@ -172,8 +172,8 @@
 void StreamForwarding::reserve(int direction)
 {
     m_isReserved = direction > 0;
-    const double tokens = plannedTokens(m_demand);
-    for (const ChainPart &part : m_chain) {
+    const double tokens = plannedKvTokens(m_demand);
+    for (const ChainStage &part : m_chain) {
         if (Target *target = findTarget(m_context.fleet, part.id)) {
             target->openRequests = std::max(0, target->openRequests + direction);
             target->kvTokenLayers = std::max(0.0, target->kvTokenLayers + direction * tokens * part.layers.count());
@@ -181,18 +181,18 @@
     }
 }
 
-static std::string roomText(const std::vector<DataCenterRoom> &rooms)
+static std::string roomText(const std::vector<DataCenterFreeCapacity> &rooms)
 {
     std::vector<std::string> parts;
     parts.reserve(rooms.size());
-    for (const DataCenterRoom &room : rooms) {
+    for (const DataCenterFreeCapacity &room : rooms) {
         parts.push_back(
-            absl::StrCat(room.dataCenter, " engines ", room.engines, " slots ", room.slots, " streams ", room.streams, " at layer ", room.narrowestLayer));
+            absl::StrCat(room.dataCenter, " engines ", room.engines, " slots ", room.slots, " streams ", room.streams, " at layer ", room.bottleneckLayer));
     }
     return joined(parts, ", ");
 }
 
-void StreamForwarding::refuseWithoutChain(const ChainSituation &situation)
+void StreamForwarding::refuseWithoutChain(const ChainSelectionContext &situation)
 {
     if (m_mayHaveRun && situation.now - m_eventAt < longestCallerPause) {
         // The caller has a part of its answer and waits for the rest; a gap is often filled in this time.
@@ -200,7 +200,7 @@
         m_chain.clear();
         return;
     }
-    const FleetRoom room = roomLeft(m_context.fleet, situation, m_demand);
+    const FleetFreeCapacity room = freeCapacityLeft(m_context.fleet, situation, m_demand);
     const bool isFull = room.coversAllLayers;
     const std::string_view reason = isFull ? "no-room" : "no-chain";
     if (m_mayHaveRun) {
@@ -214,9 +214,9 @@
     end();
 }
 
-ChainSituation StreamForwarding::situationNow() const
+ChainSelectionContext StreamForwarding::situationNow() const
 {
-    ChainSituation situation;
+    ChainSelectionContext situation;
     situation.model = &*m_request.service->engine;
     situation.service = m_request.service->name;
     situation.dataCenter = m_context.settings.dataCenter;
@@ -226,36 +226,36 @@
 }
 
 /// A chain inside one data centre, or else one across them while the pipe between them has room.
-std::vector<ChainPart> StreamForwarding::findChain(const ChainSituation &situation)
+std::vector<ChainStage> StreamForwarding::findChain(const ChainSelectionContext &situation)
 {
     ChainTuning tuning;
-    tuning.mayCross = false;
-    std::vector<ChainPart> chain = chooseChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
-    if (chain.empty() && mayCross(crossingBudget(m_context, *m_request.service), situation.now)) {
-        tuning.mayCross = true;
-        chain = chooseChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
+    tuning.allowsCrossDataCenter = false;
+    std::vector<ChainStage> chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
+    if (chain.empty() && hasCrossDataCenterBudget(crossingBudget(m_context, *m_request.service), situation.now)) {
+        tuning.allowsCrossDataCenter = true;
+        chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
     }
     return chain;
 }
 
 void StreamForwarding::startAttempt()
 {
-    const ChainSituation situation = situationNow();
-    std::vector<ChainPart> chain = findChain(situation);
+    const ChainSelectionContext situation = situationNow();
+    std::vector<ChainStage> chain = findChain(situation);
     if (chain.empty()) {
         return refuseWithoutChain(situation);
     }
     startThrough(std::move(chain));
 }
 
-void StreamForwarding::startThrough(std::vector<ChainPart> chain)
+void StreamForwarding::startThrough(std::vector<ChainStage> chain)
 {
     const TimePoint now = m_context.clock.now();
     m_isWaitingForChain = false;
     m_leavingSince = TimePoint();
     m_chain = std::move(chain);
     const ServiceSpec &service = *m_request.service;
-    noteCrossing(crossingBudget(m_context, service), crossingBytes(m_context.fleet, *service.engine, m_chain, m_demand));
+    consumeCrossDataCenterBudget(crossingBudget(m_context, service), crossDataCenterBytes(m_context.fleet, *service.engine, m_chain, m_demand));
     reserve(+1);
     const HeaderNames &names = m_context.dialect.headers();
     std::vector<AddedField> added = {{names.chain, m_context.dialect.encodeChain(m_chain)}};
@@ -358,7 +358,7 @@
     if (allowed <= milliseconds(0) || now - m_eventAt <= allowed / 2) {
         return;
     }
-    for (const ChainPart &part : m_chain) {
+    for (const ChainStage &part : m_chain) {
         const Target *target = findTarget(m_context.fleet, part.id);
         if (target && now - target->reportedAt >= usefulReport) {
             m_hooks.askEngine(part.id);
@@ -376,9 +376,9 @@
     if (hasBrokenEvent) {
         return retryOrEnd("stream without events", true);
     }
-    for (const ChainPart &part : m_chain) {
+    for (const ChainStage &part : m_chain) {
         if (Target *target = findTarget(m_context.fleet, part.id)) {
-            noteSuccess(*target);
+            recordSuccess(*target);
         }
     }
     m_request.exchange->complete();
@@ -394,7 +394,7 @@
         ++m_refusals;
         const std::string_view at = head.find(names.faultyTarget);
         TargetId faulty = m_chain.front().id;
-        for (const ChainPart &part : m_chain) {
+        for (const ChainStage &part : m_chain) {
             if (part.address.toString() == at) {
                 faulty = part.id;
             }
@@ -424,12 +424,12 @@
     if (!target) {
         return;
     }
-    noteRefusal(*target, m_context.clock.now());
+    recordRefusal(*target, m_context.clock.now());
     logEvent(Event::PartRefused, {{"id", m_request.attemptId},
                                   {"target", id.value},
                                   {"status", std::to_string(status)},
                                   {"refusals", std::to_string(target->refusalsInRow)},
-                                  {"open", std::to_string(allOpenRequests(*target))}});
+                                  {"open", std::to_string(totalOpenRequests(*target))}});
     m_hooks.askEngine(id);
 }
 
@@ -482,11 +482,11 @@
 bool StreamForwarding::startMove()
 {
     ChainTuning near;
-    near.mayCross = false;
-    ChainSituation situation = situationNow();
+    near.allowsCrossDataCenter = false;
+    ChainSelectionContext situation = situationNow();
     situation.current = m_chain;
     reserve(-1);
-    std::vector<ChainPart> chain = chooseChain(m_context.fleet, situation, m_demand, m_context.random, near);
+    std::vector<ChainStage> chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, near);
     if (chain.empty()) {
         reserve(+1);
         return false;
@@ -510,7 +510,7 @@
 /// leaves after some two seconds.
 bool StreamForwarding::isChainBroken(TimePoint now) const
 {
-    return m_chain.size() > 1 && std::any_of(m_chain.begin() + 1, m_chain.end(), [&](const ChainPart &part) {
+    return m_chain.size() > 1 && std::any_of(m_chain.begin() + 1, m_chain.end(), [&](const ChainStage &part) {
                const Target *target = findTarget(m_context.fleet, part.id);
                return !target || isFailing(*target, now);
            });
@@ -523,9 +523,9 @@
     if (m_isOver || !m_hasEvents || !m_exchange) {
         return;
     }
-    const bool isLeft = std::any_of(m_chain.begin() + 1, m_chain.end(), [this](const ChainPart &part) {
+    const bool isLeft = std::any_of(m_chain.begin() + 1, m_chain.end(), [this](const ChainStage &part) {
         const Target *target = findTarget(m_context.fleet, part.id);
-        return target && (target->listed.isDraining || !target->listed.layers.contains(part.layers));
+        return target && (target->registered.isDraining || !target->registered.layers.contains(part.layers));
     });
     if (!isLeft) {
         return;
@@ -542,7 +542,7 @@
 }
 
 /// The first engine's answer to an order to move the stream; `before` is the chain that it had.
-void StreamForwarding::takeMove(bool isMoved, int move, const std::vector<ChainPart> &before)
+void StreamForwarding::takeMove(bool isMoved, int move, const std::vector<ChainStage> &before)
 {
     if (m_isOver || move != m_moves) {
         return;
@@ -563,7 +563,7 @@
 
 void StreamForwarding::noteDeadTarget(const TargetId &id)
 {
-    const bool isConcerned = !m_isOver && std::any_of(m_chain.begin(), m_chain.end(), [&](const ChainPart &part) {
+    const bool isConcerned = !m_isOver && std::any_of(m_chain.begin(), m_chain.end(), [&](const ChainStage &part) {
         return part.id == id;
     });
     const bool isWaiting = m_context.clock.now() - m_progressAt >= stallThreshold(m_context) / 2;
@@ -603,7 +603,7 @@
     }
     m_waitedAt = now;
     // Looking costs nothing; a retry is taken only for a chain that is there.
-    std::vector<ChainPart> chain = findChain(situationNow());
+    std::vector<ChainStage> chain = findChain(situationNow());
     if (!chain.empty() && tryRetry(m_context, m_request.service->name)) {
         startThrough(std::move(chain));
     }
@@ -635,7 +635,7 @@
     m_askedAt = now;
     m_hooks.askEngine(m_chain.front().id);
     if (now - m_progressAt > stall * stallsUntilMove && m_sent < m_request.route->maxAttempts) {
-        for (const ChainPart &part : m_chain) {
+        for (const ChainStage &part : m_chain) {
             m_excluded.insert(part.id);
         }
         moveAway("no event for long");
--- a/stand-ins/registry_entry.h
+++ b/stand-ins/registry_entry.h
@@ -9,7 +9,7 @@
 {
 
 /// The row of a target; `heartbeats` counts its writes.
-inline std::string registryEntry(const ListedTarget &target, int heartbeats)
+inline std::string registryEntry(const RegisteredTarget &target, int heartbeats)
 {
     nlohmann::json entry = {{"service", target.service.value},
                             {"address", target.address.toString()},
--- a/stand-ins/target_host_main.cpp
+++ b/stand-ins/target_host_main.cpp
@@ -44,7 +44,7 @@
     HttpClient client{loop};
     StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .gap = milliseconds(20), .load = milliseconds(50)}};
     std::map<std::string, std::unique_ptr<StandIn::RawTarget>> targets;
-    std::vector<ListedTarget> listed;
+    std::vector<RegisteredTarget> listed;
     Address store;
     int heartbeats = 0;
     bool isDraining = false;
@@ -64,7 +64,7 @@
     ++host.heartbeats;
     nlohmann::json puts = nlohmann::json::array();
     nlohmann::json removals = nlohmann::json::array();
-    for (ListedTarget &target : host.listed) {
+    for (RegisteredTarget &target : host.listed) {
         nlohmann::json row = {{"table", "servers"}, {"part", ""}, {"key", target.id.value}};
         if (isGone) {
             removals.push_back(row);
@@ -90,13 +90,13 @@
     });
 }
 
-static Result<ListedTarget> parseTarget(const std::string &text)
+static Result<RegisteredTarget> parseTarget(const std::string &text)
 {
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos) {
         return fail("read --engines or --targets", text, "expected ID=HOST:PORT");
     }
-    ListedTarget target;
+    RegisteredTarget target;
     target.id = {text.substr(0, equals)};
     BOOST_LEAF_ASSIGN(target.address, parseAddress(text.substr(equals + 1)));
     target.dataCenter = absl::GetFlag(FLAGS_data_center);
--- a/tests/chain_selection_test.cpp
+++ b/tests/chain_selection_test.cpp
@@ -23,40 +23,40 @@
 
     TargetId add(const std::string &dataCenter, LayerRange layers, const std::string &kind = "middle")
     {
-        ListedTarget listed;
-        listed.id = {"e" + std::to_string(next++)};
-        listed.service = {"chat"};
-        listed.address = {"10.0.0." + std::to_string(next), 80};
-        listed.dataCenter = dataCenter;
-        listed.accelerator = kind;
-        listed.layers = layers;
-        noteListed(fleet, listed, start);
-        return listed.id;
+        RegisteredTarget registered;
+        registered.id = {"e" + std::to_string(next++)};
+        registered.service = {"chat"};
+        registered.address = {"10.0.0." + std::to_string(next), 80};
+        registered.dataCenter = dataCenter;
+        registered.accelerator = kind;
+        registered.layers = layers;
+        recordRegistration(fleet, registered, start);
+        return registered.id;
     }
 };
 
-ChainSituation situationIn(const EngineModel &model, const std::string &dataCenter)
+ChainSelectionContext contextIn(const EngineModel &model, const std::string &dataCenter)
 {
-    ChainSituation situation;
-    situation.model = &model;
-    situation.service = {"chat"};
-    situation.dataCenter = dataCenter;
-    situation.now = start;
-    return situation;
+    ChainSelectionContext context;
+    context.model = &model;
+    context.service = {"chat"};
+    context.dataCenter = dataCenter;
+    context.now = start;
+    return context;
 }
 
 /// Every layer once and in order, no engine twice, each part held by its engine.
-void checkChain(const EngineModel &model, const Fleet &fleet, const std::vector<ChainPart> &chain)
+void checkChain(const EngineModel &model, const Fleet &fleet, const std::vector<ChainStage> &chain)
 {
     BOOST_REQUIRE(!chain.empty());
     int next = 0;
     std::set<TargetId> seen;
-    for (const ChainPart &part : chain) {
-        BOOST_TEST(part.layers.from == next);
-        BOOST_TEST(part.layers.count() > 0);
-        BOOST_TEST(seen.insert(part.id).second);
-        BOOST_TEST(findTarget(fleet, part.id)->listed.layers.contains(part.layers));
-        next = part.layers.to;
+    for (const ChainStage &stage : chain) {
+        BOOST_TEST(stage.layers.from == next);
+        BOOST_TEST(stage.layers.count() > 0);
+        BOOST_TEST(seen.insert(stage.id).second);
+        BOOST_TEST(findTarget(fleet, stage.id)->registered.layers.contains(stage.layers));
+        next = stage.layers.to;
     }
     BOOST_TEST(next == model.layers);
 }
@@ -76,7 +76,7 @@
     builder.add("a", {0, 45});
     std::mt19937_64 random(1);
     for (int i = 0; i < 50; ++i) {
-        checkChain(model, builder.fleet, chooseChain(builder.fleet, situationIn(model, "a"), {100, 50}, random));
+        checkChain(model, builder.fleet, selectChain(builder.fleet, contextIn(model, "a"), {100, 50}, random));
     }
 }
 
@@ -91,7 +91,7 @@
     const TargetId first = builder.add("away", {0, 40});
     builder.add("away", {40, 80});
     std::mt19937_64 random(1);
-    const std::vector<ChainPart> chain = chooseChain(builder.fleet, situationIn(model, "home"), {100, 50}, random);
+    const std::vector<ChainStage> chain = selectChain(builder.fleet, contextIn(model, "home"), {100, 50}, random);
     checkChain(model, builder.fleet, chain);
     BOOST_TEST(chain.size() == 2U);
     BOOST_TEST((chain[0].id == first));
@@ -104,13 +104,13 @@
     builder.add("home", {0, 40});
     const TargetId rest = builder.add("away", {40, 80});
     std::mt19937_64 random(1);
-    const ChainSituation situation = situationIn(model, "home");
-    checkChain(model, builder.fleet, chooseChain(builder.fleet, situation, {100, 50}, random));
+    const ChainSelectionContext context = contextIn(model, "home");
+    checkChain(model, builder.fleet, selectChain(builder.fleet, context, {100, 50}, random));
     ChainTuning near;
-    near.mayCross = false;
-    BOOST_TEST(chooseChain(builder.fleet, situation, {100, 50}, random, near).empty());
-    noteRemoved(builder.fleet, rest);
-    BOOST_TEST(!roomLeft(builder.fleet, situation, {900, 200}).coversAllLayers);
+    near.allowsCrossDataCenter = false;
+    BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random, near).empty());
+    recordRemoval(builder.fleet, rest);
+    BOOST_TEST(!freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
 BOOST_AUTO_TEST_CASE(aFullFleetIsNoGap)
@@ -119,12 +119,12 @@
     const EngineModel model = lightModel();
     FleetBuilder builder;
     Target *target = findTarget(builder.fleet, builder.add("home", {0, 80}, "huge"));
-    target->listed.slots = 10;
+    target->registered.slots = 10;
     target->openRequests = 10;
     std::mt19937_64 random(1);
-    const ChainSituation situation = situationIn(model, "home");
-    BOOST_TEST(chooseChain(builder.fleet, situation, {100, 50}, random).empty());
-    BOOST_TEST(roomLeft(builder.fleet, situation, {900, 200}).coversAllLayers);
+    const ChainSelectionContext context = contextIn(model, "home");
+    BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random).empty());
+    BOOST_TEST(freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
 BOOST_AUTO_TEST_CASE(chainsAcrossDataCentersLeaveThePipeRoom)
@@ -135,30 +135,30 @@
     // must stay under what the pipe carries, for requests of any size.
     EngineModel model = lightModel();
     model.activationBytes = 16400;
-    model.pipeMbps = 3120;
+    model.dataCenterLinkMbps = 3120;
     FleetBuilder builder;
-    const std::vector<ChainPart> chain = {
+    const std::vector<ChainStage> chain = {
         {builder.add("home", {0, 30}), {}, {0, 30}}, {builder.add("home", {30, 40}), {}, {30, 40}}, {builder.add("away", {40, 80}), {}, {40, 80}}};
     constexpr int entries = 25;
     constexpr int seconds = 10;
-    std::vector<RateBudget> budgets(entries, makeCrossingBudget(model, entries));
+    std::vector<RateBudget> budgets(entries, makeCrossDataCenterBudget(model, entries));
     double bytes = 0;
     for (int tick = 0; tick < seconds * 100; ++tick) {
         for (RateBudget &budget : budgets) {
             const StreamDemand demand{100.0 + 20 * (tick % 100), 200};
-            if (mayCross(budget, start + milliseconds(10) * tick)) {
-                noteCrossing(budget, crossingBytes(builder.fleet, model, chain, demand));
+            if (hasCrossDataCenterBudget(budget, start + milliseconds(10) * tick)) {
+                consumeCrossDataCenterBudget(budget, crossDataCenterBytes(builder.fleet, model, chain, demand));
                 bytes += (demand.promptTokens + demand.answerTokens) * model.activationBytes;
             }
         }
     }
-    const double pipeBytes = model.pipeMbps * 1e6 / 8 * seconds;
+    const double pipeBytes = model.dataCenterLinkMbps * 1e6 / 8 * seconds;
     BOOST_TEST(bytes < pipeBytes);
     BOOST_TEST(bytes > pipeBytes / 3);
-    BOOST_TEST(crossingBytes(builder.fleet, model, {chain[0], chain[1]}, {100, 200}) == 0);
-    RateBudget unknown = makeCrossingBudget(lightModel(), entries);
-    noteCrossing(unknown, 1e12);
-    BOOST_TEST(mayCross(unknown, start), "a fleet that no data centre holds is served whatever the pipe");
+    BOOST_TEST(crossDataCenterBytes(builder.fleet, model, {chain[0], chain[1]}, {100, 200}) == 0);
+    RateBudget unknown = makeCrossDataCenterBudget(lightModel(), entries);
+    consumeCrossDataCenterBudget(unknown, 1e12);
+    BOOST_TEST(hasCrossDataCenterBudget(unknown, start), "a fleet that no data centre holds is served whatever the pipe");
 }
 
 BOOST_AUTO_TEST_CASE(loadSpreadsOverEqualEngines)
@@ -171,7 +171,7 @@
     findTarget(builder.fleet, idle)->peersOpenRequests = 10;
     std::mt19937_64 random(1);
     for (int i = 0; i < 20; ++i) {
-        const std::vector<ChainPart> chain = chooseChain(builder.fleet, situationIn(model, "a"), {100, 50}, random);
+        const std::vector<ChainStage> chain = selectChain(builder.fleet, contextIn(model, "a"), {100, 50}, random);
         BOOST_REQUIRE(chain.size() == 1U);
         BOOST_TEST((chain[0].id == idle));
     }
@@ -187,15 +187,15 @@
     const TargetId slow = builder.add("a", {0, 40}, "huge");
     const TargetId other = builder.add("a", {0, 40}, "huge");
     builder.add("a", {40, 80}, "huge");
-    findTarget(builder.fleet, slow)->slowness = 12;
+    findTarget(builder.fleet, slow)->slowdownFactor = 12;
     findTarget(builder.fleet, other)->openRequests = 100;
     std::mt19937_64 random(1);
-    const ChainSituation situation = situationIn(model, "a");
+    const ChainSelectionContext context = contextIn(model, "a");
     for (int i = 0; i < 20; ++i) {
-        BOOST_TEST((chooseChain(builder.fleet, situation, {100, 50}, random)[0].id == other));
+        BOOST_TEST((selectChain(builder.fleet, context, {100, 50}, random)[0].id == other));
     }
-    noteRemoved(builder.fleet, other);
-    BOOST_TEST((chooseChain(builder.fleet, situation, {100, 50}, random)[0].id == slow));
+    recordRemoval(builder.fleet, other);
+    BOOST_TEST((selectChain(builder.fleet, context, {100, 50}, random)[0].id == slow));
 }
 
 BOOST_AUTO_TEST_CASE(fullEnginesAndFailedOnesAreLeftOut)
@@ -205,15 +205,15 @@
     const TargetId only = builder.add("a", {0, 40}, "huge");
     const TargetId second = builder.add("a", {40, 80}, "huge");
     std::mt19937_64 random(1);
-    const ChainSituation situation = situationIn(model, "a");
-    BOOST_TEST(!chooseChain(builder.fleet, situation, {100, 50}, random).empty());
+    const ChainSelectionContext context = contextIn(model, "a");
+    BOOST_TEST(!selectChain(builder.fleet, context, {100, 50}, random).empty());
     Target *target = findTarget(builder.fleet, second);
-    target->peersKvTokenLayers = kvCapacity(model, target->listed);
-    BOOST_TEST(chooseChain(builder.fleet, situation, {100, 50}, random).empty());
+    target->peersKvTokenLayers = kvCapacity(model, target->registered);
+    BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random).empty());
     target->peersKvTokenLayers = 0;
-    noteFailure(*findTarget(builder.fleet, only), start);
-    BOOST_TEST(chooseChain(builder.fleet, situation, {100, 50}, random).empty());
-    BOOST_TEST(!roomLeft(builder.fleet, situation, {900, 200}).coversAllLayers);
+    recordFailure(*findTarget(builder.fleet, only), start);
+    BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random).empty());
+    BOOST_TEST(!freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineTakesWhatItsStreamsHoldTogether)
@@ -228,17 +228,17 @@
     const StreamDemand demand{600, 400};
     std::mt19937_64 random(1);
     int streams = 0;
-    while (!chooseChain(builder.fleet, situationIn(model, "a"), demand, random).empty()) {
-        target->kvTokenLayers += plannedTokens(demand) * model.layers;
+    while (!selectChain(builder.fleet, contextIn(model, "a"), demand, random).empty()) {
+        target->kvTokenLayers += plannedKvTokens(demand) * model.layers;
         ++streams;
     }
     double held = 0;
     for (int i = 0; i < streams; ++i) {
         held += (demand.promptTokens + demand.answerTokens * i / streams) * model.layers;
     }
-    const double capacity = kvCapacity(model, target->listed);
+    const double capacity = kvCapacity(model, target->registered);
     BOOST_TEST(held <= capacity);
-    BOOST_TEST(held + 2 * plannedTokens(demand) * model.layers >= capacity * tuning.kvFillLimit);
+    BOOST_TEST(held + 2 * plannedKvTokens(demand) * model.layers >= capacity * tuning.kvFillLimit);
 }
 
 BOOST_AUTO_TEST_CASE(aFirstEngineTakesNoMoreThanItsSlots)
@@ -250,20 +250,20 @@
     FleetBuilder builder;
     const TargetId near = builder.add("home", {0, 80}, "huge");
     const TargetId far = builder.add("away", {0, 80}, "huge");
-    findTarget(builder.fleet, near)->listed.slots = 100;
-    findTarget(builder.fleet, far)->listed.slots = 100;
+    findTarget(builder.fleet, near)->registered.slots = 100;
+    findTarget(builder.fleet, far)->registered.slots = 100;
     std::mt19937_64 random(1);
-    const ChainSituation situation = situationIn(model, "home");
-    BOOST_TEST((chooseChain(builder.fleet, situation, {100, 50}, random)[0].id == near));
+    const ChainSelectionContext context = contextIn(model, "home");
+    BOOST_TEST((selectChain(builder.fleet, context, {100, 50}, random)[0].id == near));
     findTarget(builder.fleet, near)->openRequests = 30;
     findTarget(builder.fleet, near)->peersOpenRequests = 70;
     findTarget(builder.fleet, far)->peersOpenRequests = 90;
-    BOOST_TEST((chooseChain(builder.fleet, situation, {100, 50}, random)[0].id == far));
+    BOOST_TEST((selectChain(builder.fleet, context, {100, 50}, random)[0].id == far));
     findTarget(builder.fleet, far)->peersOpenRequests = 100;
-    BOOST_TEST(chooseChain(builder.fleet, situation, {100, 50}, random).empty());
-    ChainSituation running = situation;
+    BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random).empty());
+    ChainSelectionContext running = context;
     running.current = {{near, {}, {0, 80}}};
-    BOOST_TEST(!chooseChain(builder.fleet, running, {100, 50}, random).empty());
+    BOOST_TEST(!selectChain(builder.fleet, running, {100, 50}, random).empty());
 }
 
 BOOST_AUTO_TEST_CASE(aRunningRequestKeepsItsFirstPart)
@@ -274,11 +274,11 @@
     const TargetId dead = builder.add("a", {30, 80}, "huge");
     builder.add("a", {20, 80}, "huge");
     builder.add("a", {0, 80}, "huge");
-    ChainSituation situation = situationIn(model, "a");
-    situation.current = {{first, {}, {0, 30}}, {dead, {}, {30, 80}}};
-    situation.excluded = {dead};
+    ChainSelectionContext context = contextIn(model, "a");
+    context.current = {{first, {}, {0, 30}}, {dead, {}, {30, 80}}};
+    context.excluded = {dead};
     std::mt19937_64 random(1);
-    const std::vector<ChainPart> chain = chooseChain(builder.fleet, situation, {100, 50}, random);
+    const std::vector<ChainStage> chain = selectChain(builder.fleet, context, {100, 50}, random);
     checkChain(model, builder.fleet, chain);
     BOOST_TEST((chain[0].id == first));
     BOOST_TEST((chain[0].layers == LayerRange{0, 30}));
@@ -297,10 +297,10 @@
     std::mt19937_64 random(1);
     findTarget(builder.fleet, leaving)->peersAvoiding = 1;
     for (int i = 0; i < 20; ++i) {
-        BOOST_TEST(chooseChain(builder.fleet, situationIn(model, "a"), {100, 50}, random).front().id.value == loaded.value);
+        BOOST_TEST(selectChain(builder.fleet, contextIn(model, "a"), {100, 50}, random).front().id.value == loaded.value);
     }
-    findTarget(builder.fleet, loaded)->listed.isDraining = true;
-    BOOST_TEST(chooseChain(builder.fleet, situationIn(model, "a"), {100, 50}, random).front().id.value == leaving.value);
+    findTarget(builder.fleet, loaded)->registered.isDraining = true;
+    BOOST_TEST(selectChain(builder.fleet, contextIn(model, "a"), {100, 50}, random).front().id.value == leaving.value);
 }
 
 /// Most streams that any engine holds against the mean, when many entries choose by the same old news.
@@ -359,7 +359,7 @@
                 target.peersKvTokenLayers = target.peersOpenRequests * 1000.0 * model.layers;
             }
             const std::string dataCenter = "dc-" + std::to_string(entry % dataCenters);
-            const std::vector<ChainPart> chain = chooseChain(builder.fleet, situationIn(model, dataCenter), {900, 200}, random, tuning);
+            const std::vector<ChainStage> chain = selectChain(builder.fleet, contextIn(model, dataCenter), {900, 200}, random, tuning);
             BOOST_REQUIRE(!chain.empty());
             ++own[entry][chain.front().id];
             ++all[chain.front().id];
--- a/tests/engine_models.h
+++ b/tests/engine_models.h
@@ -33,8 +33,8 @@
 {
     EngineModel model = largeModel();
     model.kvTokenBytes = 328000;
-    model.usualPromptTokens = 770;
-    model.usualAnswerTokens = 153;
+    model.meanPromptTokens = 770;
+    model.meanAnswerTokens = 153;
     model.batchSlots = 192;
     return model;
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -92,8 +92,8 @@
         engines.push_back(engine);
     }
     settle(model, engines);
-    BOOST_TEST(missingLayers(model, engines, "a").empty());
-    BOOST_TEST(missingLayers(model, engines, "b").empty());
+    BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
+    BOOST_TEST(uncoveredLayers(model, engines, "b").empty());
     checkMemory(model, engines);
     BOOST_TEST(planPlacement(model, engines).empty());
 }
@@ -110,7 +110,7 @@
     for (PlacedEngine &engine : together) {
         engine.dataCenter = "both";
     }
-    BOOST_TEST(missingLayers(model, together, "both").empty());
+    BOOST_TEST(uncoveredLayers(model, together, "both").empty());
     checkMemory(model, engines);
 }
 
@@ -125,7 +125,7 @@
         std::vector<PlacedEngine> rest = engines;
         rest.erase(rest.begin() + lost);
         settle(model, rest);
-        BOOST_TEST(missingLayers(model, rest, "a").empty());
+        BOOST_TEST(uncoveredLayers(model, rest, "a").empty());
         checkMemory(model, rest);
     }
 }
@@ -172,20 +172,20 @@
     carryOut(engines, first);
     for (const PlacementOrder &order : first) {
         for (PlacedEngine &engine : engines) {
-            engine.isFixed = engine.isFixed || engine.id == order.id;
+            engine.hasPendingOrder = engine.hasPendingOrder || engine.id == order.id;
         }
     }
     engines[9].isLeaving = true;
     for (const PlacementOrder &order : planPlacement(model, engines)) {
         for (const PlacedEngine &engine : engines) {
-            BOOST_TEST((!engine.isFixed || engine.id != order.id));
+            BOOST_TEST((!engine.hasPendingOrder || engine.id != order.id));
         }
     }
     for (PlacedEngine &engine : engines) {
-        engine.isFixed = false;
+        engine.hasPendingOrder = false;
     }
     settle(model, engines);
-    BOOST_TEST(missingLayers(model, engines, "a").empty());
+    BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
 }
 
 PlacedEngine &engineHolding(std::vector<PlacedEngine> &engines, LayerRange layers)
@@ -250,7 +250,7 @@
         // At most one whole copy, so that all engines form one chain.
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", draw(1)}, {"large", draw(1)}, {"middle", 4 + draw(2)}, {"small", 4 + draw(2)}});
         carryOut(engines, planPlacement(model, engines));
-        BOOST_REQUIRE(missingLayers(model, engines, "a").empty());
+        BOOST_REQUIRE(uncoveredLayers(model, engines, "a").empty());
         checkMemory(model, engines);
         const auto narrowest = std::min_element(engines.begin(), engines.end(), [&](const PlacedEngine &a, const PlacedEngine &b) {
             return cacheMbPerLayer(model, a) < cacheMbPerLayer(model, b);
@@ -297,7 +297,7 @@
             BOOST_TEST(!order.dropsStreams);
         }
         settle(model, rest);
-        BOOST_TEST(missingLayers(model, rest, "a").empty());
+        BOOST_TEST(uncoveredLayers(model, rest, "a").empty());
     }
 }
 
@@ -311,7 +311,7 @@
     PlacedEngine &lost = engineHolding(engines, {0, 1});
     BOOST_TEST(lost.kind == "large");
     lost.isLeaving = true;
-    lost.isDead = true;
+    lost.isUnreachable = true;
     int given = 0;
     for (int round = 0; round < 5; ++round) {
         const std::vector<PlacementOrder> orders = planPlacement(model, engines);
@@ -324,7 +324,7 @@
         }
         carryOut(engines, orders);
     }
-    BOOST_TEST(missingLayers(model, engines, "a").empty());
+    BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
     BOOST_TEST(given <= 4);
     checkMemory(model, engines);
 }
@@ -395,7 +395,7 @@
                 break;
             }
             settle(model, engines);
-            BOOST_TEST(missingLayers(model, engines, "a").empty(), "seed " << seed << " after " << lost + 1 << " losses");
+            BOOST_TEST(uncoveredLayers(model, engines, "a").empty(), "seed " << seed << " after " << lost + 1 << " losses");
             checkMemory(model, engines);
         }
     }
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -49,36 +49,36 @@
     // An engine crashes, is avoided, and comes back under its old id: holding nothing, and working.
     // What was seen of the start before must not keep it out; an entry of that start that comes late must not bring it back.
     Fleet fleet;
-    ListedTarget listed;
-    listed.id = {"e"};
-    listed.startedAtMs = 100;
-    listed.layers = {0, 10};
-    BOOST_TEST(noteListed(fleet, listed, start));
-    Target *target = findTarget(fleet, listed.id);
-    noteFailure(*target, start);
+    RegisteredTarget registered;
+    registered.id = {"e"};
+    registered.startedAtMs = 100;
+    registered.layers = {0, 10};
+    BOOST_TEST(recordRegistration(fleet, registered, start));
+    Target *target = findTarget(fleet, registered.id);
+    recordFailure(*target, start);
     target->needsProbe = true;
     BOOST_TEST(!isUsable(*target, start));
-    const ListedTarget before = listed;
-    listed.startedAtMs = 200;
-    listed.layers = {};
-    BOOST_TEST(noteListed(fleet, listed, start));
-    BOOST_TEST(isUsable(*findTarget(fleet, listed.id), start));
-    BOOST_TEST(!noteListed(fleet, before, start));
-    BOOST_TEST(findTarget(fleet, listed.id)->listed.layers.count() == 0);
+    const RegisteredTarget before = registered;
+    registered.startedAtMs = 200;
+    registered.layers = {};
+    BOOST_TEST(recordRegistration(fleet, registered, start));
+    BOOST_TEST(isUsable(*findTarget(fleet, registered.id), start));
+    BOOST_TEST(!recordRegistration(fleet, before, start));
+    BOOST_TEST(findTarget(fleet, registered.id)->registered.layers.count() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(failuresInARowAreAvoidedLonger)
 {
     Target target;
-    noteFailure(target, start);
-    BOOST_TEST(!isUsable(target, start + firstAvoidance - milliseconds(1)));
-    BOOST_TEST(isUsable(target, start + firstAvoidance));
+    recordFailure(target, start);
+    BOOST_TEST(!isUsable(target, start + initialFailureBackoff - milliseconds(1)));
+    BOOST_TEST(isUsable(target, start + initialFailureBackoff));
     for (int i = 0; i < 20; ++i) {
-        noteFailure(target, start);
+        recordFailure(target, start);
     }
-    BOOST_TEST(!isUsable(target, start + longestAvoidance - milliseconds(1)));
-    BOOST_TEST(isUsable(target, start + longestAvoidance));
-    noteSuccess(target);
+    BOOST_TEST(!isUsable(target, start + maxFailureBackoff - milliseconds(1)));
+    BOOST_TEST(isUsable(target, start + maxFailureBackoff));
+    recordSuccess(target);
     BOOST_TEST(isUsable(target, start));
 }
 
@@ -87,20 +87,20 @@
     // An engine refuses parts while its memory is full. Taken for failures, the refusals were told to the other entries,
     // and two of them made its layers count as lost; it works, and is asked again after a pause that grows.
     Target target;
-    noteRefusal(target, start);
+    recordRefusal(target, start);
     BOOST_TEST(!isUsable(target, start));
     BOOST_TEST(!isFailing(target, start));
-    BOOST_TEST(isUsable(target, start + firstRefusalPause));
-    noteRefusal(target, start);
-    BOOST_TEST(!isUsable(target, start + firstRefusalPause));
-    BOOST_TEST(isUsable(target, start + 2 * firstRefusalPause));
+    BOOST_TEST(isUsable(target, start + initialRefusalBackoff));
+    recordRefusal(target, start);
+    BOOST_TEST(!isUsable(target, start + initialRefusalBackoff));
+    BOOST_TEST(isUsable(target, start + 2 * initialRefusalBackoff));
     for (int i = 0; i < 20; ++i) {
-        noteRefusal(target, start);
+        recordRefusal(target, start);
     }
-    BOOST_TEST(isUsable(target, start + longestRefusalPause));
-    noteSuccess(target);
-    noteRefusal(target, start + longestRefusalPause);
-    BOOST_TEST(isUsable(target, start + longestRefusalPause + firstRefusalPause));
+    BOOST_TEST(isUsable(target, start + maxRefusalBackoff));
+    recordSuccess(target);
+    recordRefusal(target, start + maxRefusalBackoff);
+    BOOST_TEST(isUsable(target, start + maxRefusalBackoff + initialRefusalBackoff));
 }
 
 /// Guards against a copy of changes since a later one than is known: what lies between was never learned, and work went to
@@ -124,12 +124,12 @@
     Target target;
     const TimePoint now{std::chrono::seconds(10)};
     BOOST_TEST(!isAvoided(target, now));
-    noteRefusal(target, now);
+    recordRefusal(target, now);
     BOOST_TEST(isAvoided(target, now));
     BOOST_TEST(!isFailing(target, now));
-    BOOST_TEST(!isAvoided(target, now + firstRefusalPause));
-    noteSuccess(target);
-    noteFailure(target, now);
+    BOOST_TEST(!isAvoided(target, now + initialRefusalBackoff));
+    recordSuccess(target);
+    recordFailure(target, now);
     BOOST_TEST(isAvoided(target, now));
 }
 
@@ -138,15 +138,15 @@
     // Requests to an engine fail while it answers questions: other engines must not take over its layers, and it is still
     // avoided for longer with each failure.
     Target target;
-    noteFailure(target, start);
-    noteFailure(target, start);
-    target.silencesInRow = 1;
+    recordFailure(target, start);
+    recordFailure(target, start);
+    target.probeTimeoutsInRow = 1;
     target.needsProbe = true;
-    noteAnswer(target);
-    BOOST_TEST(target.silencesInRow == 0);
+    recordProbeResponse(target);
+    BOOST_TEST(target.probeTimeoutsInRow == 0);
     BOOST_TEST(target.failuresInRow == 2);
     BOOST_TEST(isFailing(target, start));
-    BOOST_TEST(isUsable(target, start + 2 * firstAvoidance));
+    BOOST_TEST(isUsable(target, start + 2 * initialFailureBackoff));
 }
 
 BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressHasReturned)
@@ -154,26 +154,26 @@
     // A crashed engine comes back with another id at its address. It replaces nobody and is employed at once; one at an
     // address never seen may be the successor of an engine that leaves a moment later.
     Fleet fleet;
-    ListedTarget listed;
-    listed.id = {"old"};
-    listed.address = {"10.0.0.1", 80};
-    noteListed(fleet, listed, start);
-    BOOST_TEST(!findTarget(fleet, {"old"})->hasReturned);
-    noteRemoved(fleet, {"old"});
-    listed.id = {"new"};
-    noteListed(fleet, listed, start);
-    BOOST_TEST(findTarget(fleet, {"new"})->hasReturned);
-    listed.id = {"added"};
-    listed.address = {"10.0.0.2", 80};
-    noteListed(fleet, listed, start);
-    BOOST_TEST(!findTarget(fleet, {"added"})->hasReturned);
+    RegisteredTarget registered;
+    registered.id = {"old"};
+    registered.address = {"10.0.0.1", 80};
+    recordRegistration(fleet, registered, start);
+    BOOST_TEST(!findTarget(fleet, {"old"})->isRestart);
+    recordRemoval(fleet, {"old"});
+    registered.id = {"new"};
+    recordRegistration(fleet, registered, start);
+    BOOST_TEST(findTarget(fleet, {"new"})->isRestart);
+    registered.id = {"added"};
+    registered.address = {"10.0.0.2", 80};
+    recordRegistration(fleet, registered, start);
+    BOOST_TEST(!findTarget(fleet, {"added"})->isRestart);
 }
 
 BOOST_AUTO_TEST_CASE(theLastHolderGoesOnWhileNobodyReachesTheStore)
 {
     // The store is down for eight seconds, the lease ends after two, engines leave meanwhile. Until another entry was sure
     // that all leases were over, four seconds later, nobody gave their layers to others.
-    DutyView holder{"b", true, milliseconds(1500), true, false, {{"a", true}, {"c", true}}};
+    FallbackLeaderView holder{"b", true, milliseconds(1500), true, false, {{"a", true}, {"c", true}}};
     BOOST_TEST(mayOrderWithoutLease(holder));
     holder.peers[1].isStoreLost = false;
     BOOST_TEST(!mayOrderWithoutLease(holder), "an entry that reaches the store can take the lease");
@@ -185,11 +185,11 @@
 BOOST_AUTO_TEST_CASE(theFirstEntryOrdersWhenTheLastHolderIsGone)
 {
     // The holder died before the store went away. The first of the others acts, once any lease is over, and only one.
-    DutyView first{"a", true, leasesOverAfter - milliseconds(1), false, false, {{"b", true}}};
+    FallbackLeaderView first{"a", true, leaseExpiryBound - milliseconds(1), false, false, {{"b", true}}};
     BOOST_TEST(!mayOrderWithoutLease(first));
-    first.storeLostFor = leasesOverAfter;
+    first.storeLostFor = leaseExpiryBound;
     BOOST_TEST(mayOrderWithoutLease(first));
-    DutyView second{"b", true, leasesOverAfter, false, false, {{"a", true}}};
+    FallbackLeaderView second{"b", true, leaseExpiryBound, false, false, {{"a", true}}};
     BOOST_TEST(!mayOrderWithoutLease(second));
     second.peers[0].isDraining = true;
     BOOST_TEST(mayOrderWithoutLease(second));
@@ -198,9 +198,9 @@
 BOOST_AUTO_TEST_CASE(anEntryThatWasPausedLeavesTheDutyToTheOneThatActs)
 {
     // The last holder was paused while another began to act: it stays with that one. If both act, the first goes on.
-    DutyView paused{"a", true, milliseconds(9000), true, false, {{"b", true, false, true}}};
+    FallbackLeaderView paused{"a", true, milliseconds(9000), true, false, {{"b", true, false, true}}};
     BOOST_TEST(!mayOrderWithoutLease(paused));
-    DutyView both{"a", true, milliseconds(9000), false, true, {{"b", true, false, true}}};
+    FallbackLeaderView both{"a", true, milliseconds(9000), false, true, {{"b", true, false, true}}};
     BOOST_TEST(mayOrderWithoutLease(both));
     both.self = "c";
     BOOST_TEST(!mayOrderWithoutLease(both));
--- a/tests/relay_system.cpp
+++ b/tests/relay_system.cpp
@@ -190,7 +190,7 @@
 
 void RelaySystem::list(const std::string &id, const std::string &service, const Address &address, const std::string &state)
 {
-    ListedTarget target{{id}, {service}, address, "dc-1", state == "draining", 6, {}, {}, 1000};
+    RegisteredTarget target{{id}, {service}, address, "dc-1", state == "draining", 6, {}, {}, 1000};
     if (service == "chat") {
         target.accelerator = "small";
         target.layers = d->engines.layers(id);
