--- a/src/policy/chain_selection.cpp
+++ b/src/policy/chain_selection.cpp
@@ -262,7 +262,7 @@
         }
         ++freeCapacity.engines;
         const int open = totalOpenRequests(*candidate.target);
-        freeCapacity.slots += registered.layers.from == 0 ? std::max(0, static_cast<int>(registered.slots * tuning.slotLimit) - open) : 0;
+        freeCapacity.freeSlots += registered.layers.from == 0 ? std::max(0, static_cast<int>(registered.slots * tuning.slotLimit) - open) : 0;
         const LayerRange held = registered.layers.within(model.layers);
         for (int layer = held.from; layer < held.to; ++layer) {
             streams[layer] += std::max(0.0, candidate.freeKvTokenLayers / (tokens * registered.layers.count()));
--- a/src/policy/chain_selection.h
+++ b/src/policy/chain_selection.h
@@ -87,7 +87,7 @@
 struct DataCenterFreeCapacity {
     std::string dataCenter;  ///< name
     int engines = 0;         ///< that may be used
-    int slots = 0;           ///< free at the engines that hold layer 0
+    int freeSlots = 0;       ///< free at the engines that hold layer 0
     int streams = 0;         ///< for which its narrowest layer has KV cache
     int bottleneckLayer = 0; ///< that layer; the first of several
 };
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -187,7 +187,7 @@
     parts.reserve(rooms.size());
     for (const DataCenterFreeCapacity &room : rooms) {
         parts.push_back(
-            absl::StrCat(room.dataCenter, " engines ", room.engines, " slots ", room.slots, " streams ", room.streams, " at layer ", room.bottleneckLayer));
+            absl::StrCat(room.dataCenter, " engines ", room.engines, " slots ", room.freeSlots, " streams ", room.streams, " at layer ", room.bottleneckLayer));
     }
     return joined(parts, ", ");
 }
--- a/tests/chain_selection_test.cpp
+++ b/tests/chain_selection_test.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ChainChoiceTest)
+BOOST_AUTO_TEST_SUITE(ChainSelectionTest)
 
 BOOST_AUTO_TEST_CASE(chainsApplyEveryLayerOnce)
 {
@@ -97,23 +97,23 @@
     BOOST_TEST((chain[0].id == first));
 }
 
-BOOST_AUTO_TEST_CASE(chainsCrossOnlyWhereTheyMay)
+BOOST_AUTO_TEST_CASE(chainsCrossDataCentersOnlyIfAllowed)
 {
     const EngineModel model = lightModel();
     FleetBuilder builder;
     builder.add("home", {0, 40});
-    const TargetId rest = builder.add("away", {40, 80});
+    const TargetId secondHalf = builder.add("away", {40, 80});
     std::mt19937_64 random(1);
     const ChainSelectionContext context = contextIn(model, "home");
     checkChain(model, builder.fleet, selectChain(builder.fleet, context, {100, 50}, random));
     ChainTuning near;
     near.allowsCrossDataCenter = false;
     BOOST_TEST(selectChain(builder.fleet, context, {100, 50}, random, near).empty());
-    recordRemoval(builder.fleet, rest);
+    recordRemoval(builder.fleet, secondHalf);
     BOOST_TEST(!freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
-BOOST_AUTO_TEST_CASE(aFullFleetIsNoGap)
+BOOST_AUTO_TEST_CASE(aFullFleetStillCoversAllLayers)
 {
     // Callers refused by a full fleet were told to come back when missing layers are loaded, and the log named a gap.
     const EngineModel model = lightModel();
@@ -127,7 +127,7 @@
     BOOST_TEST(freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
-BOOST_AUTO_TEST_CASE(chainsAcrossDataCentersLeaveThePipeRoom)
+BOOST_AUTO_TEST_CASE(crossDataCenterTrafficStaysUnderTheLinkCapacity)
 {
     // A burst fills a different part in each data centre, and chains across them are the only ones with room. All streams
     // took them: the pipe was filled many times over, callers saw nothing for two seconds and left, and the KV cache of
@@ -152,9 +152,9 @@
             }
         }
     }
-    const double pipeBytes = model.dataCenterLinkMbps * 1e6 / 8 * seconds;
-    BOOST_TEST(bytes < pipeBytes);
-    BOOST_TEST(bytes > pipeBytes / 3);
+    const double linkBytes = model.dataCenterLinkMbps * 1e6 / 8 * seconds;
+    BOOST_TEST(bytes < linkBytes);
+    BOOST_TEST(bytes > linkBytes / 3);
     BOOST_TEST(crossDataCenterBytes(builder.fleet, model, {chain[0], chain[1]}, {100, 200}) == 0);
     RateBudget unknown = makeCrossDataCenterBudget(lightModel(), entries);
     consumeCrossDataCenterBudget(unknown, 1e12);
@@ -177,7 +177,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(chainsPassBySlowEngines)
+BOOST_AUTO_TEST_CASE(chainsAvoidSlowEngines)
 {
     // An engine turns twelve times slower. It answers and passes events on, so that streams through it are late to the end;
     // half of all chains went on beginning there, though another engine holds the same layers. It is left alone, but for a
@@ -198,7 +198,7 @@
     BOOST_TEST((selectChain(builder.fleet, context, {100, 50}, random)[0].id == slow));
 }
 
-BOOST_AUTO_TEST_CASE(fullEnginesAndFailedOnesAreLeftOut)
+BOOST_AUTO_TEST_CASE(fullAndFailedEnginesAreExcluded)
 {
     const EngineModel model = lightModel();
     FleetBuilder builder;
@@ -216,7 +216,7 @@
     BOOST_TEST(!freeCapacityLeft(builder.fleet, context, {900, 200}).coversAllLayers);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineTakesWhatItsStreamsHoldTogether)
+BOOST_AUTO_TEST_CASE(enginesAreFilledByTheAverageKvUseOfTheirStreams)
 {
     // Streams of even lengths begin one after the other, so that at any time they have written half of their answers on
     // average. Counted with whole answers, an engine refused callers while a part of its KV cache was never used. Half
@@ -266,7 +266,7 @@
     BOOST_TEST(!selectChain(builder.fleet, running, {100, 50}, random).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aRunningRequestKeepsItsFirstPart)
+BOOST_AUTO_TEST_CASE(aRunningRequestKeepsItsFirstStage)
 {
     const EngineModel model = lightModel();
     FleetBuilder builder;
@@ -286,7 +286,7 @@
 }
 
 /// Guards against an engine that leaves without a word and is tried by each entry, at the cost of a repeat each.
-BOOST_AUTO_TEST_CASE(anEngineThatOthersAvoidIsTakenOnlyIfThereIsNoOtherNear)
+BOOST_AUTO_TEST_CASE(anEngineThatPeersAvoidIsUsedOnlyIfTheDataCenterHasNoOther)
 {
     const EngineModel model = lightModel();
     FleetBuilder builder;
@@ -304,7 +304,7 @@
 }
 
 /// Most streams that any engine holds against the mean, when many entries choose by the same old news.
-static double crowdingByOldNews(milliseconds newsAge, const ChainTuning &tuning)
+static double peakLoadRatioWithStaleLoads(milliseconds reportAge, const ChainTuning &tuning)
 {
     constexpr int dataCenters = 5;
     constexpr int entries = 70;
@@ -327,11 +327,11 @@
     std::vector<Open> open;
     std::vector<std::map<TargetId, int>> own(entries);
     std::map<TargetId, int> all;
-    std::map<TargetId, int> told;
-    std::vector<std::map<TargetId, int>> ownTold(entries);
+    std::map<TargetId, int> reported;
+    std::vector<std::map<TargetId, int>> ownReported(entries);
     std::mt19937_64 random(1);
     double worst = 0;
-    TimePoint toldAt = start;
+    TimePoint reportedAt = start;
     for (TimePoint now = start; now < start + std::chrono::seconds(8); now += step) {
         for (const Open &one : open) {
             if (one.endsAt <= now) {
@@ -342,10 +342,10 @@
         std::erase_if(open, [now](const Open &one) {
             return one.endsAt <= now;
         });
-        if (now - toldAt >= newsAge) {
-            toldAt = now;
-            told = all;
-            ownTold = own;
+        if (now - reportedAt >= reportAge) {
+            reportedAt = now;
+            reported = all;
+            ownReported = own;
         }
         for (int entry = 0; entry < entries; ++entry) {
             if ((entry * step + (now - start)) % between != milliseconds(0)) {
@@ -354,7 +354,7 @@
             for (const TargetId &id : engines) {
                 Target &target = *findTarget(builder.fleet, id);
                 target.openRequests = own[entry][id];
-                target.peersOpenRequests = told[id] - ownTold[entry][id];
+                target.peersOpenRequests = reported[id] - ownReported[entry][id];
                 target.kvTokenLayers = own[entry][id] * 1000.0 * model.layers;
                 target.peersKvTokenLayers = target.peersOpenRequests * 1000.0 * model.layers;
             }
@@ -375,14 +375,14 @@
 }
 
 /// Guards against entries of all data centres that choose the same engines until news of their choice comes.
-BOOST_AUTO_TEST_CASE(entriesWithTheSameOldNewsDoNotCrowd)
+BOOST_AUTO_TEST_CASE(entriesWithTheSameStaleLoadsDoNotOverloadAnEngine)
 {
-    const double crowding = crowdingByOldNews(milliseconds(300), {});
-    BOOST_TEST(crowding <= 1.5, "an engine held " << crowding << " times the mean");
+    const double peakLoadRatio = peakLoadRatioWithStaleLoads(milliseconds(300), {});
+    BOOST_TEST(peakLoadRatio <= 1.5, "an engine held " << peakLoadRatio << " times the mean");
     ChainTuning everywhere;
     everywhere.remoteStartMs = 1;
     everywhere.jitter = 0.05;
-    BOOST_TEST_MESSAGE("without preference for the own data centre: " << crowdingByOldNews(milliseconds(300), everywhere));
+    BOOST_TEST_MESSAGE("without preference for the own data centre: " << peakLoadRatioWithStaleLoads(milliseconds(300), everywhere));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/engine_models.h
+++ b/tests/engine_models.h
@@ -29,7 +29,7 @@
 }
 
 /// The large model with what its engines tell of usual requests, so that room for streams can be told.
-inline EngineModel servedModel()
+inline EngineModel modelWithRequestProfile()
 {
     EngineModel model = largeModel();
     model.kvTokenBytes = 328000;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -31,7 +31,7 @@
 }
 
 /// An engine of the middle kind in data centre "a" that holds nothing.
-PlacedEngine emptyEngine(const std::string &id)
+PlacedEngine idleEngine(const std::string &id)
 {
     PlacedEngine engine;
     engine.id = {id};
@@ -40,7 +40,7 @@
     return engine;
 }
 
-void carryOut(std::vector<PlacedEngine> &engines, const std::vector<PlacementOrder> &orders)
+void applyOrders(std::vector<PlacedEngine> &engines, const std::vector<PlacementOrder> &orders)
 {
     for (const PlacementOrder &order : orders) {
         const auto engine = std::find_if(engines.begin(), engines.end(), [&](const PlacedEngine &candidate) {
@@ -52,11 +52,11 @@
 }
 
 /// Plans until nothing changes.
-int settle(const EngineModel &model, std::vector<PlacedEngine> &engines)
+int planUntilStable(const EngineModel &model, std::vector<PlacedEngine> &engines)
 {
     int rounds = 0;
     for (auto orders = planPlacement(model, engines); !orders.empty(); orders = planPlacement(model, engines)) {
-        carryOut(engines, orders);
+        applyOrders(engines, orders);
         BOOST_REQUIRE(++rounds < 10);
     }
     return rounds;
@@ -84,14 +84,14 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementTest)
 
-BOOST_AUTO_TEST_CASE(eachDataCenterGetsAWholeModel)
+BOOST_AUTO_TEST_CASE(eachDataCenterHoldsTheFullModel)
 {
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 3}});
     for (const PlacedEngine &engine : makeEngines("b", {{"large", 2}, {"middle", 4}, {"small", 7}})) {
         engines.push_back(engine);
     }
-    settle(model, engines);
+    planUntilStable(model, engines);
     BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
     BOOST_TEST(uncoveredLayers(model, engines, "b").empty());
     checkMemory(model, engines);
@@ -105,7 +105,7 @@
     for (const PlacedEngine &engine : makeEngines("b", {{"large", 3}})) {
         engines.push_back(engine);
     }
-    settle(model, engines);
+    planUntilStable(model, engines);
     std::vector<PlacedEngine> together = engines;
     for (PlacedEngine &engine : together) {
         engine.dataCenter = "both";
@@ -120,56 +120,56 @@
     // may be told to hold more than it can.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 3}});
-    settle(model, engines);
+    planUntilStable(model, engines);
     for (std::size_t lost = 0; lost < engines.size(); ++lost) {
-        std::vector<PlacedEngine> rest = engines;
-        rest.erase(rest.begin() + lost);
-        settle(model, rest);
-        BOOST_TEST(uncoveredLayers(model, rest, "a").empty());
-        checkMemory(model, rest);
+        std::vector<PlacedEngine> remaining = engines;
+        remaining.erase(remaining.begin() + lost);
+        planUntilStable(model, remaining);
+        BOOST_TEST(uncoveredLayers(model, remaining, "a").empty());
+        checkMemory(model, remaining);
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEmptyEngineTakesTheGapAndNobodyElseMoves)
+BOOST_AUTO_TEST_CASE(anIdleEngineTakesTheUncoveredLayersAndNoOtherMoves)
 {
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
-    settle(model, engines);
-    const LayerRange gap = engines[5].layers;
+    planUntilStable(model, engines);
+    const LayerRange lostLayers = engines[5].layers;
     engines[5].isLeaving = true;
-    engines.push_back(emptyEngine("a-new"));
+    engines.push_back(idleEngine("a-new"));
     engines.back().isNew = true;
     const std::vector<PlacementOrder> orders = planPlacement(model, engines);
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST(orders[0].id.value == "a-new");
-    BOOST_TEST((orders[0].layers == gap));
+    BOOST_TEST((orders[0].layers == lostLayers));
 }
 
-BOOST_AUTO_TEST_CASE(aNewcomerIsKeptFreeForAWhile)
+BOOST_AUTO_TEST_CASE(aNewEngineIsKeptFreeAtFirst)
 {
     // Engines are replaced one by one, the new one first. Loaded with other layers at once, it could not take those of the
     // engine that leaves a moment later.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
-    settle(model, engines);
-    engines.push_back(emptyEngine("a-new"));
+    planUntilStable(model, engines);
+    engines.push_back(idleEngine("a-new"));
     engines.back().isNew = true;
     BOOST_TEST(planPlacement(model, engines).empty());
     engines.back().isNew = false;
     BOOST_TEST(planPlacement(model, engines).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(enginesUnderOrderAreLeftAlone)
+BOOST_AUTO_TEST_CASE(enginesWithPendingOrdersGetNoOther)
 {
     // A second engine is lost while the neighbours of the first load its layers. A cut around engines that take no order
     // moved most of the others (a data centre without a chain for four seconds): the plan waits instead.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
-    settle(model, engines);
+    planUntilStable(model, engines);
     engines[2].isLeaving = true;
     const std::vector<PlacementOrder> first = planPlacement(model, engines);
     BOOST_REQUIRE(!first.empty());
-    carryOut(engines, first);
+    applyOrders(engines, first);
     for (const PlacementOrder &order : first) {
         for (PlacedEngine &engine : engines) {
             engine.hasPendingOrder = engine.hasPendingOrder || engine.id == order.id;
@@ -184,7 +184,7 @@
     for (PlacedEngine &engine : engines) {
         engine.hasPendingOrder = false;
     }
-    settle(model, engines);
+    planUntilStable(model, engines);
     BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
 }
 
@@ -197,19 +197,19 @@
     return *it;
 }
 
-BOOST_AUTO_TEST_CASE(asManyCopiesAreHeldAsLeaveRoomForTheStreamsOfAFirstEngine)
+BOOST_AUTO_TEST_CASE(copiesLeaveKvCacheForTheStreamsOfAFirstEngine)
 {
     // 424 GB leave 144 GB beside two copies: room for some 470 streams, more than the 192 of a first engine. With KV cache
     // of twice the size per token and a quarter less memory, two copies would leave room for 67.
-    EngineModel model = servedModel();
+    EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> large = makeEngines("a", {{"huge", 1}, {"large", 1}, {"middle", 8}, {"small", 10}});
-    carryOut(large, planPlacement(model, large));
+    applyOrders(large, planPlacement(model, large));
     BOOST_TEST(fewestHolders(model, large) == 2);
     checkMemory(model, large);
 
     model.kvTokenBytes = 590000;
     std::vector<PlacedEngine> tight = makeEngines("a", {{"huge", 1}, {"large", 1}, {"middle", 5}, {"small", 7}});
-    carryOut(tight, planPlacement(model, tight));
+    applyOrders(tight, planPlacement(model, tight));
     int layers = 0;
     for (const PlacedEngine &engine : tight) {
         layers += engine.layers.count();
@@ -220,12 +220,12 @@
 /// Guards against a third copy that takes the KV cache of the other two: each loss then left a data centre too small for its callers.
 BOOST_AUTO_TEST_CASE(aCopyThatLeavesFewerStreamsAfterALossIsNotHeld)
 {
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 3}, {"middle", 9}, {"small", 14}});
-    carryOut(engines, planPlacement(model, engines));
+    applyOrders(engines, planPlacement(model, engines));
     BOOST_TEST(fewestHolders(model, engines) == 2);
     std::vector<PlacedEngine> larger = makeEngines("a", {{"huge", 2}, {"large", 2}, {"middle", 15}, {"small", 7}});
-    carryOut(larger, planPlacement(model, larger));
+    applyOrders(larger, planPlacement(model, larger));
     BOOST_TEST(fewestHolders(model, larger) == 3);
 }
 
@@ -236,12 +236,12 @@
     return findKind(model, engine.kind)->memoryMb / layers - model.layerMb;
 }
 
-BOOST_AUTO_TEST_CASE(noEngineOfAChainIsNarrowerThanNeedBe)
+BOOST_AUTO_TEST_CASE(kvCachePerLayerIsBalancedOverAChain)
 {
     // A burst of streams fills the engine with the least KV cache for each layer. Its chain then takes no more, though all
     // others stand half empty; callers are refused, come back, and find it full again. So no layer of the narrowest engine
     // may have a place elsewhere in the chain where it would leave more.
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     for (int seed = 0; seed < 20; ++seed) {
         std::mt19937_64 random(seed);
         const auto draw = [&random](int most) {
@@ -249,7 +249,7 @@
         };
         // At most one whole copy, so that all engines form one chain.
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", draw(1)}, {"large", draw(1)}, {"middle", 4 + draw(2)}, {"small", 4 + draw(2)}});
-        carryOut(engines, planPlacement(model, engines));
+        applyOrders(engines, planPlacement(model, engines));
         BOOST_REQUIRE(uncoveredLayers(model, engines, "a").empty());
         checkMemory(model, engines);
         const auto narrowest = std::min_element(engines.begin(), engines.end(), [&](const PlacedEngine &a, const PlacedEngine &b) {
@@ -263,11 +263,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(enginesThatAreNotKnownAreGivenNothing)
+BOOST_AUTO_TEST_CASE(enginesOfUnknownKindsGetNoLayers)
 {
     // The list of engines names a kind that the configuration does not know yet, or all engines are leaving: nobody is left
     // to deal the model to. The plan is empty until that changes; the process that plans relays streams and must go on.
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"unknown", 3}});
     BOOST_TEST(planPlacement(model, engines).empty());
     engines = makeEngines("a", {{"huge", 3}});
@@ -277,92 +277,92 @@
     BOOST_TEST(planPlacement(model, engines).empty());
 }
 
-BOOST_AUTO_TEST_CASE(neighboursOfALeavingEngineAddItsLayersAndGiveUpNone)
+BOOST_AUTO_TEST_CASE(neighboursOfALeavingEngineAddItsLayersAndReleaseNone)
 {
     // An engine drains and still serves. Handed on from neighbour to neighbour, its layers made others give up layers that
     // nobody else held: the chain that worked broke, a second before it had to.
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 4}});
-    settle(model, engines);
+    planUntilStable(model, engines);
     for (std::size_t leaving = 1; leaving + 1 < engines.size(); ++leaving) {
-        std::vector<PlacedEngine> rest = engines;
-        rest[leaving].isLeaving = true;
-        const std::vector<PlacementOrder> orders = planPlacement(model, rest);
+        std::vector<PlacedEngine> remaining = engines;
+        remaining[leaving].isLeaving = true;
+        const std::vector<PlacementOrder> orders = planPlacement(model, remaining);
         BOOST_TEST(!orders.empty());
         for (const PlacementOrder &order : orders) {
             const auto before = std::find_if(engines.begin(), engines.end(), [&](const PlacedEngine &engine) {
                 return engine.id == order.id;
             });
-            BOOST_TEST(order.layers.contains(before->layers), rest[leaving].id.value << " leaves, " << order.id.value << " gives up layers");
+            BOOST_TEST(order.layers.contains(before->layers), remaining[leaving].id.value << " leaves, " << order.id.value << " gives up layers");
             BOOST_TEST(!order.dropsStreams);
         }
-        settle(model, rest);
-        BOOST_TEST(uncoveredLayers(model, rest, "a").empty());
+        planUntilStable(model, remaining);
+        BOOST_TEST(uncoveredLayers(model, remaining, "a").empty());
     }
 }
 
-BOOST_AUTO_TEST_CASE(aGapTooLargeForItsNeighboursMovesFewEngines)
+BOOST_AUTO_TEST_CASE(anUncoveredRangeTooLargeForItsNeighboursMovesFewEngines)
 {
     // The largest engine of a data centre dies, with 17 layers. Shifted from neighbour to neighbour, the gap made all
     // engines load a new range, most of them whole; the data centre had no chain for four seconds.
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 3}});
-    settle(model, engines);
+    planUntilStable(model, engines);
     PlacedEngine &lost = engineHolding(engines, {0, 1});
     BOOST_TEST(lost.kind == "large");
     lost.isLeaving = true;
     lost.isUnreachable = true;
-    int given = 0;
+    int released = 0;
     for (int round = 0; round < 5; ++round) {
         const std::vector<PlacementOrder> orders = planPlacement(model, engines);
         for (const PlacementOrder &order : orders) {
             const PlacedEngine &engine = *std::find_if(engines.begin(), engines.end(), [&](const PlacedEngine &other) {
                 return other.id == order.id;
             });
-            given += order.layers.contains(engine.layers) ? 0 : 1;
+            released += order.layers.contains(engine.layers) ? 0 : 1;
             BOOST_TEST(order.dropsStreams);
         }
-        carryOut(engines, orders);
+        applyOrders(engines, orders);
     }
     BOOST_TEST(uncoveredLayers(model, engines, "a").empty());
-    BOOST_TEST(given <= 4);
+    BOOST_TEST(released <= 4);
     checkMemory(model, engines);
 }
 
-BOOST_AUTO_TEST_CASE(anEmptyEngineHelpsTheOneThatHoldsMost)
+BOOST_AUTO_TEST_CASE(anIdleEngineRelievesTheFullestEngine)
 {
     // A small engine took over the layers of a lost neighbour and has room for few streams, and with it the whole chain.
     // The engine that comes back took layers that had room enough.
-    const EngineModel model = servedModel();
+    const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 13}});
-    settle(model, engines);
+    planUntilStable(model, engines);
     PlacedEngine &full = engineHolding(engines, {40, 41});
     const LayerRange grown{full.layers.from, full.layers.from + 11};
     full.layers = grown;
-    engines.push_back(emptyEngine("a-returned"));
+    engines.push_back(idleEngine("a-returned"));
     const std::vector<PlacementOrder> orders = planPlacement(model, engines);
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST(orders[0].id.value == "a-returned");
     BOOST_TEST(std::min(orders[0].layers.to, grown.to) - std::max(orders[0].layers.from, grown.from) >= 5);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatComesBackLeavesNoLayerNarrow)
+BOOST_AUTO_TEST_CASE(aReturningEngineLeavesNoLayerWithASingleHolder)
 {
     // One of two holders of a range dies and comes back empty. Given one layer less than before, it left that layer with a
     // single holder: every chain of the data centre passes through it, and callers were refused for fifteen seconds while
     // half of all slots and KV cache was free.
-    const EngineModel model = servedModel();
-    const std::vector<PlacedEngine> calm = [&] {
+    const EngineModel model = modelWithRequestProfile();
+    const std::vector<PlacedEngine> initial = [&] {
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", 1}, {"middle", 5}, {"small", 14}});
-        settle(model, engines);
+        planUntilStable(model, engines);
         return engines;
     }();
-    BOOST_REQUIRE(fewestHolders(model, calm) == 2);
-    for (std::size_t lost = 0; lost < calm.size(); ++lost) {
-        std::vector<PlacedEngine> engines = calm;
+    BOOST_REQUIRE(fewestHolders(model, initial) == 2);
+    for (std::size_t lost = 0; lost < initial.size(); ++lost) {
+        std::vector<PlacedEngine> engines = initial;
         engines[lost].layers = {};
-        settle(model, engines);
-        BOOST_TEST(fewestHolders(model, engines) == 2, calm[lost].id.value << " came back");
+        planUntilStable(model, engines);
+        BOOST_TEST(fewestHolders(model, engines) == 2, initial[lost].id.value << " came back");
         checkMemory(model, engines);
     }
 }
@@ -379,22 +379,22 @@
             return std::uniform_int_distribution<int>(0, most)(random);
         };
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", draw(2)}, {"large", draw(4)}, {"middle", 6 + draw(8)}, {"small", 3 + draw(8)}});
-        settle(model, engines);
+        planUntilStable(model, engines);
         const std::size_t losses = engines.size() / 3;
         for (std::size_t lost = 0; lost < losses; ++lost) {
             engines.erase(engines.begin() + draw(static_cast<int>(engines.size()) - 1));
-            int room = 0;
+            int maxLayers = 0;
             for (const PlacedEngine &engine : engines) {
-                room += static_cast<int>(findKind(model, engine.kind)->memoryMb * tuning.emergencyShare / model.layerMb);
+                maxLayers += static_cast<int>(findKind(model, engine.kind)->memoryMb * tuning.emergencyShare / model.layerMb);
             }
             double memory = 0;
             for (const PlacedEngine &engine : engines) {
                 memory += findKind(model, engine.kind)->memoryMb;
             }
-            if (room < model.layers || memory * tuning.emergencyShare < model.layers * model.layerMb) {
+            if (maxLayers < model.layers || memory * tuning.emergencyShare < model.layers * model.layerMb) {
                 break;
             }
-            settle(model, engines);
+            planUntilStable(model, engines);
             BOOST_TEST(uncoveredLayers(model, engines, "a").empty(), "seed " << seed << " after " << lost + 1 << " losses");
             checkMemory(model, engines);
         }
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -44,7 +44,7 @@
     BOOST_TEST(pickService(table, route, 0.5) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdForgetsWhatWasSeen)
+BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdClearsTheObservedState)
 {
     // An engine crashes, is avoided, and comes back under its old id: holding nothing, and working.
     // What was seen of the start before must not keep it out; an entry of that start that comes late must not bring it back.
@@ -67,7 +67,7 @@
     BOOST_TEST(findTarget(fleet, registered.id)->registered.layers.count() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(failuresInARowAreAvoidedLonger)
+BOOST_AUTO_TEST_CASE(consecutiveFailuresBackOffLonger)
 {
     Target target;
     recordFailure(target, start);
@@ -82,7 +82,7 @@
     BOOST_TEST(isUsable(target, start));
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalIsNoFailure)
+BOOST_AUTO_TEST_CASE(aRefusalIsNotAFailure)
 {
     // An engine refuses parts while its memory is full. Taken for failures, the refusals were told to the other entries,
     // and two of them made its layers count as lost; it works, and is asked again after a pause that grows.
@@ -105,7 +105,7 @@
 
 /// Guards against a copy of changes since a later one than is known: what lies between was never learned, and work went to
 /// targets that had left.
-BOOST_AUTO_TEST_CASE(aCopyThatLeavesAHoleIsNotTaken)
+BOOST_AUTO_TEST_CASE(aTableCopyThatSkipsChangesIsRejected)
 {
     TableCopy copy;
     copy.after = 150;
@@ -119,7 +119,7 @@
 }
 
 /// Guards against 68 entries that each learn by a refusal of their own what the first one could have told them.
-BOOST_AUTO_TEST_CASE(aTargetThatRefusesIsToldToOthersWhileItIsAvoided)
+BOOST_AUTO_TEST_CASE(aRefusingTargetIsReportedToPeersWhileItIsAvoided)
 {
     Target target;
     const TimePoint now{std::chrono::seconds(10)};
@@ -133,7 +133,7 @@
     BOOST_TEST(isAvoided(target, now));
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerToAQuestionEndsSilenceButNotFailures)
+BOOST_AUTO_TEST_CASE(aProbeResponseResetsTimeoutsButNotFailures)
 {
     // Requests to an engine fail while it answers questions: other engines must not take over its layers, and it is still
     // avoided for longer with each failure.
@@ -149,7 +149,7 @@
     BOOST_TEST(isUsable(target, start + 2 * initialFailureBackoff));
 }
 
-BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressHasReturned)
+BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressIsARestart)
 {
     // A crashed engine comes back with another id at its address. It replaces nobody and is employed at once; one at an
     // address never seen may be the successor of an engine that leaves a moment later.
@@ -169,7 +169,7 @@
     BOOST_TEST(!findTarget(fleet, {"added"})->isRestart);
 }
 
-BOOST_AUTO_TEST_CASE(theLastHolderGoesOnWhileNobodyReachesTheStore)
+BOOST_AUTO_TEST_CASE(theLastLeaseHolderKeepsOrderingWhileNoEntryReachesTheStore)
 {
     // The store is down for eight seconds, the lease ends after two, engines leave meanwhile. Until another entry was sure
     // that all leases were over, four seconds later, nobody gave their layers to others.
@@ -182,7 +182,7 @@
     BOOST_TEST(!mayOrderWithoutLease(holder));
 }
 
-BOOST_AUTO_TEST_CASE(theFirstEntryOrdersWhenTheLastHolderIsGone)
+BOOST_AUTO_TEST_CASE(theLowestEntryOrdersWhenTheLastLeaseHolderIsLost)
 {
     // The holder died before the store went away. The first of the others acts, once any lease is over, and only one.
     FallbackLeaderView first{"a", true, leaseExpiryBound - milliseconds(1), false, false, {{"b", true}}};
@@ -195,7 +195,7 @@
     BOOST_TEST(mayOrderWithoutLease(second));
 }
 
-BOOST_AUTO_TEST_CASE(anEntryThatWasPausedLeavesTheDutyToTheOneThatActs)
+BOOST_AUTO_TEST_CASE(aPausedEntryYieldsToTheActiveLeader)
 {
     // The last holder was paused while another began to act: it stays with that one. If both act, the first goes on.
     FallbackLeaderView paused{"a", true, milliseconds(9000), true, false, {{"b", true, false, true}}};
