--- a/src/policy/chain_selection.cpp
+++ b/src/policy/chain_selection.cpp
@@ -6,22 +6,22 @@
 namespace Parsleytrail
 {
 
-/// An engine that may be part of the chain.
+/// An engine that may be used in the chain.
 struct Candidate {
-    const Target *target = nullptr;  ///< of the fleet
+    const Target *target = nullptr;  ///< in the fleet
     double stepMsPerLayer = 0;       ///< expected time of one layer of a pass
-    double freeKvTokenLayers = 0;    ///< tokens x layers
-    double kvFill = 0;               ///< 0 empty to 1 full
-    double avoidedMs = 0;            ///< added because other entries avoid it
-    bool isFullAsFirstStage = false; ///< takes no more requests from entries; parts of chains that began elsewhere it does
-    std::size_t dataCenter = 0;      ///< index
+    double freeKvTokenLayers = 0;    ///< KV cache left of the share that may be planned for, tokens x layers
+    double kvFill = 0;               ///< share of its KV cache in use: 0 empty, 1 full
+    double avoidedMs = 0;            ///< cost added because other entries avoid it
+    bool isFullAsFirstStage = false; ///< accepts no more requests from entries, but still later stages of chains that began at other engines
+    std::size_t dataCenter = 0;      ///< index of its name
 };
 
-/// Best way found to have applied the layers before a boundary, ending in a data centre.
+/// Cheapest path found that has applied all layers below a boundary and ends in a data centre.
 struct PathState {
     double cost = std::numeric_limits<double>::infinity(); ///< ms
-    int candidate = -1;                                    ///< last engine
-    std::size_t previous = 0;                              ///< state before it
+    int candidate = -1;                                    ///< last engine; -1: none
+    std::size_t previous = 0;                              ///< state before the last engine
 };
 
 double kvCapacity(const EngineModel &model, const RegisteredTarget &registered)
@@ -94,15 +94,15 @@
     return boundaries;
 }
 
-/// Search for the shortest path over the boundaries of layer ranges.
+/// Shortest-path search over the boundaries of layer ranges.
 struct ChainSearch {
     const std::vector<Candidate> &candidates;
     const std::vector<int> &boundaries;
     const std::vector<std::string> &dataCenters;
     const ChainSelectionContext &context;
     const ChainTuning &tuning;
-    double tokens;       ///< that the request will hold in KV cache
-    bool usesRangeToEnd; ///< an engine is left only at the end of its range
+    double tokens;       ///< KV cache planned for the request
+    bool usesRangeToEnd; ///< each engine is used to the end of its range
 
     std::vector<PathState> states{};
 
@@ -120,7 +120,7 @@
         }
         return tuning.allowsCrossDataCenter ? tuning.crossDataCenterHopMs : std::numeric_limits<double>::infinity();
     }
-    /// Whether a running request may take this part; the first one it has must stay as it is.
+    /// Whether a running request may use this stage; its first stage must stay as it is.
     bool isAllowed(const TargetId &id, const LayerRange &layers) const
     {
         return context.current.empty() || layers.from > 0 || isSameStage(context.current.front(), id, layers);
--- a/src/policy/chain_selection.h
+++ b/src/policy/chain_selection.h
@@ -1,8 +1,8 @@
-// Chooses the engines that a streamed request passes through.
+// Selects the chain of engines that runs a streamed request.
 //
-// The engines hold overlapping layer ranges. A chain takes a part of some of them so that every layer is applied once
-// and in order. Of all chains with room for the request's KV cache the one with the least expected time for a step is
-// taken, found as a shortest path over layers; engines that are loaded count as slower, so that load spreads.
+// The engines hold overlapping layer ranges. A chain uses a range of some of them, so that every layer is applied once and in
+// order. Among all chains whose engines have KV cache for the request, the one with the least expected time per step is
+// selected, as a shortest path over the layers. Loaded engines cost more, which spreads the load.
 //
 // Pure: randomness and time are passed in.
 #pragma once
@@ -17,84 +17,87 @@
 namespace Parsleytrail
 {
 
-/// One engine's part of a chain.
+/// The layers that one engine applies in a chain.
 struct ChainStage {
     TargetId id;       ///< engine
     Address address;   ///< of the engine
-    LayerRange layers; ///< applied there
+    LayerRange layers; ///< applied by the engine
 
     bool operator==(const ChainStage &) const = default;
 };
 
-/// What a request will need.
+/// Expected size of a request.
 struct StreamDemand {
-    double promptTokens = 0; ///< read before the first event
-    double answerTokens = 0; ///< expected; the bound that the caller gives is far above it
+    double promptTokens = 0; ///< prompt length, processed before the first event
+    double answerTokens = 0; ///< expected length of the answer; the caller's limit is far above it
 };
 
-/// KV cache that a request is counted with, tokens: what it holds on average while it runs. Its prompt is there from the
-/// start, and its answer grows; of many requests at an engine some begin while others end. Counted with its whole answer
-/// from the start, each engine would stand a tenth empty while callers are refused for want of room.
+/// KV cache that is planned for a request, tokens: its average while the request runs, which is the prompt and half of the
+/// answer. The requests of an engine are at different stages of their answers. Planning for full answers would leave a tenth
+/// of each engine's cache unused while callers are refused for lack of it.
 double plannedKvTokens(const StreamDemand &demand);
 
-/// Where and when a chain is chosen.
+/// Inputs of the selection.
 struct ChainSelectionContext {
     const EngineModel *model = nullptr; ///< of the service
-    ServiceName service;                ///< whose engines are taken
-    std::string dataCenter;             ///< of the entry
-    TimePoint now{};                    ///< engines to be avoided until later are left out
+    ServiceName service;                ///< only its engines are used
+    std::string dataCenter;             ///< of this entry
+    TimePoint now{};                    ///< engines that are avoided at this time are left out
     std::set<TargetId> excluded;        ///< engines that already failed this request
-    std::vector<ChainStage> current;    ///< chain of a request that runs: its first part is kept, others where they can be
+    std::vector<ChainStage> current;    ///< chain of a running request: its first stage is kept, the others if possible; empty for a new request
 };
 
-/// Weights of the choice.
+/// Costs and limits of the selection.
 struct ChainTuning {
-    /// A hop inside a data centre: 0.2 ms one way and the wake-up of the next engine.
+    /// Cost of a hop inside a data centre: 0.2 ms one way and the wake-up of the next engine.
     double hopMs = 0.3;
-    /// A hop to another data centre moves the activations of every token of prompt and answer through a pipe that all
-    /// share: chains take as few as they can.
+    /// Cost of a hop to another data centre. The activations of every token of prompt and answer pass over a link that all
+    /// chains share, so that chains make as few of these hops as possible.
     double crossDataCenterHopMs = 400;
-    /// Whether chains may cross between data centres; see policy/crossing.h.
+    /// Whether chains may span data centres; see policy/cross_data_center_budget.h.
     bool allowsCrossDataCenter = true;
-    /// A chain that begins in another data centre than the entry. Only bytes of events cross, but the choice rests on news
-    /// that all entries share and that is some hundred milliseconds old: entries of all data centres would choose the same
-    /// few engines until they hear of each other. More than a loaded chain costs, so that the own data centre goes first.
+    /// Cost of a chain that begins in another data centre than the entry. Only the bytes of events cross the link, but the
+    /// selection uses loads that all entries share and that are some hundred milliseconds old: without this cost the entries of
+    /// all data centres would select the same few engines until the next report. It exceeds the cost of a loaded chain, so that
+    /// the entry's own data centre is preferred.
     double remoteStartMs = 60;
-    /// Added for a part whose KV cache would be full, falling with the square of the fill.
+    /// Cost of a stage whose KV cache would be full; scales with the square of the fill.
     double kvPressureMs = 12;
-    /// Added for a part at an engine that other entries avoid for now: it leaves without a word, or fails. Less than the way to
-    /// another data centre, and no ban: what they saw may not concern this entry, and somebody has to find it well again.
+    /// Cost of a stage at an engine that other entries avoid: it fails, or shuts down without notice. Less than the cost of
+    /// another data centre, and not an exclusion: the failures may not affect this entry, and some request has to detect that
+    /// the engine has recovered.
     double avoidedByPeersMs = 40;
-    /// Share of an engine's KV cache that is planned for. Answers are longer than expected half of the time; an engine
-    /// that runs out stops its newest request and reads it again.
+    /// Share of an engine's KV cache that may be planned for. Half of all answers are longer than expected; an engine that runs
+    /// out of cache preempts its newest request and processes it again from the prompt.
     double kvFillLimit = 0.92;
-    /// Share of a first engine's slots that is planned for: counts of other entries are some hundred milliseconds old, and
-    /// an engine over its slots queues, then refuses.
+    /// Share of a first engine's slots that may be used. The counts of other entries are some hundred milliseconds old, and an
+    /// engine above its slots queues requests, then refuses them.
     double slotLimit = 0.95;
-    /// Factor on the cost of a part that a running request already has: a new part reads all tokens so far.
+    /// Factor on the cost of a stage that a running request already has: a new stage processes all tokens so far again.
     double keptStageFactor = 0.3;
-    /// Random share added to each cost, so that entries of a data centre, whose views are equal, do not all choose the same engine.
+    /// Upper bound of the random share added to each cost, so that entries of a data centre, which see equal loads, don't all
+    /// select the same engine.
     double jitter = 0.2;
 };
 
-/// KV cache of an engine, tokens x layers.
+/// Memory of an engine that its layers leave for KV cache, tokens x layers; 0 if its accelerator is not configured.
 double kvCapacity(const EngineModel &model, const RegisteredTarget &registered);
 
-/// The best chain; empty if the engines that may be used do not cover all layers, or have no room.
+/// The chain with the lowest cost; empty if the usable engines don't cover all layers, or lack free KV cache or slots.
 std::vector<ChainStage> selectChain(const Fleet &fleet, const ChainSelectionContext &context, const StreamDemand &demand, std::mt19937_64 &random,
                                     const ChainTuning &tuning = {});
-/// How much more a data centre could take, as this entry sees it.
+/// Free capacity of a data centre as this entry sees it.
 struct DataCenterFreeCapacity {
     std::string dataCenter;  ///< name
-    int engines = 0;         ///< that may be used
-    int freeSlots = 0;       ///< free at the engines that hold layer 0
-    int streams = 0;         ///< for which its narrowest layer has KV cache
-    int bottleneckLayer = 0; ///< that layer; the first of several
+    int engines = 0;         ///< usable engines
+    int freeSlots = 0;       ///< total of the engines that hold layer 0
+    int streams = 0;         ///< further streams that fit the KV cache of its bottleneck layer
+    int bottleneckLayer = 0; ///< layer with the least free KV cache; the first of several
 };
-/// What is left for requests like one that found no chain.
+/// Free capacity for requests like one that got no chain.
 struct FleetFreeCapacity {
-    std::vector<DataCenterFreeCapacity> dataCenters; ///< room of each
-    bool coversAllLayers = false;                    ///< usable engines hold all layers, full or not: tells a full fleet from one with a gap
+    std::vector<DataCenterFreeCapacity> dataCenters; ///< data centres with usable engines
+    bool coversAllLayers = false;                    ///< whether usable engines hold all layers, full or not: tells a full fleet from uncovered layers
 };
 FleetFreeCapacity freeCapacityLeft(const Fleet &fleet, const ChainSelectionContext &context, const StreamDemand &demand);
 
--- a/src/policy/coverage_repair.cpp
+++ b/src/policy/coverage_repair.cpp
@@ -5,11 +5,11 @@
 namespace Parsleytrail
 {
 
-/// Cost of what can't be done.
+/// Cost of an infeasible choice.
 constexpr double unreachableCost = 1e18;
 
-/// Gives the start of a gap to an empty engine; returns the layers taken. One that takes the whole gap goes first, the
-/// smallest of these; else the largest.
+/// Assigns the start of an uncovered range to an idle engine; returns the number of layers assigned. Prefers the smallest
+/// engine that can hold the entire range, else the largest one.
 static int coverWithIdleEngine(const EngineModel &model, EngineGroup &group, LayerRange uncovered, const PlacementTuning &tuning, std::vector<int> &copies,
                                std::vector<PlacementOrder> &orders)
 {
@@ -30,14 +30,14 @@
         return 0;
     }
     const int count = std::min(uncovered.count(), layersThatFit(model, *best, tuning.emergencyShare));
-    assignLayers(*best, {uncovered.from, uncovered.from + count}, "gap filled by an empty engine", copies, orders);
+    assignLayers(*best, {uncovered.from, uncovered.from + count}, "uncovered layers assigned to an idle engine", copies, orders);
     return count;
 }
 
-/// What an engine is ordered to hold so that it serves `part`: what it holds as well, if both fit and touch.
+/// The range to order from an engine so that it serves `stage`: joined with its present layers, if they are adjacent and fit.
 ///
-/// Layers that are given up take no new streams, and new ones are loaded only when the streams in the old ones have ended,
-/// which takes seconds. An engine that adds layers to its own loads at once and goes on serving.
+/// Released layers accept no new streams, and new layers are loaded only after the streams in the released ones have ended,
+/// which takes seconds. An engine that only adds layers loads at once and keeps serving.
 static LayerRange rangeToLoad(const EngineModel &model, const PlacedEngine &engine, LayerRange stage, const PlacementTuning &tuning)
 {
     const LayerRange both{std::min(stage.from, engine.layers.from), std::max(stage.to, engine.layers.to)};
@@ -45,8 +45,8 @@
     return isAdjacent && both.count() <= layersThatFit(model, engine, tuning.emergencyShare) ? both : stage;
 }
 
-/// Sums of the cost of giving up the layers below each layer: a plan asks for the cost of some hundred thousand ranges, and
-/// on a twentieth of a core a plan of milliseconds holds back events.
+/// Prefix sums of the cost of releasing each layer. A plan needs the cost of some hundred thousand ranges, and an entry may
+/// have a twentieth of a core, where a plan that takes milliseconds delays events.
 static std::vector<double> releaseCostPrefixSums(const std::vector<int> &copies, const PlacementTuning &tuning)
 {
     std::vector<double> sums = {0};
@@ -61,7 +61,7 @@
     return std::max(0, std::min(held.to, engine.layers.to) - std::max(held.from, engine.layers.from));
 }
 
-/// Cost of an engine's giving up all of its layers but those in `held`.
+/// Cost of releasing all layers of an engine except those in `held`.
 static double releaseCost(const PlacedEngine &engine, LayerRange held, const std::vector<double> &sums)
 {
     const double all = sums[engine.layers.to] - sums[engine.layers.from];
@@ -71,7 +71,7 @@
     return all - (sums[std::min(held.to, engine.layers.to)] - sums[std::max(held.from, engine.layers.from)]);
 }
 
-/// Cost of an engine's serving a part: layers to be loaded and given up, and the KV cache that is lost.
+/// Cost of having an engine serve a stage: layers to load and to release, and the KV cache that is lost.
 static double stageCost(const EngineModel &model, const PlacedEngine &engine, LayerRange stage, const std::vector<double> &releaseSums,
                         const PlacementTuning &tuning)
 {
@@ -84,15 +84,15 @@
     return (held.count() - keptLayers(engine, held)) + lostCache + releaseCost(engine, held, releaseSums);
 }
 
-/// A way to cover all layers.
+/// An assignment of ranges that covers all layers.
 struct Partition {
-    EngineGroup chain;              ///< engines in the order of their parts
-    std::vector<LayerRange> stages; ///< of each engine of the chain; empty: left as it is
-    double cost = unreachableCost;  ///< see partCost()
+    EngineGroup chain;              ///< engines in the order of their ranges
+    std::vector<LayerRange> stages; ///< range of each engine of the chain; empty: unchanged
+    double cost = unreachableCost;  ///< sum of stageCost(), plus what a moved engine releases
 };
 
-/// The cheapest way to cover all layers by the engines in the given order: each takes the layers where the one before it
-/// ends, or is left out. The cost is unreachableCost if they can't.
+/// The cheapest way to cover all layers with the engines in the given order: each starts at the layer where the previous one
+/// ends, or is left out. The cost is at least unreachableCost if they can't cover all layers.
 static Partition partitionInOrder(const EngineModel &model, EngineGroup chain, const std::vector<double> &releaseSums, const PlacementTuning &tuning)
 {
     const std::size_t width = model.layers + 1;
@@ -104,7 +104,7 @@
         for (int from = 0; from <= model.layers; ++from) {
             const double base = cost[i * width + from];
             for (int to = from; base < unreachableCost && to <= std::min(model.layers, from + most); ++to) {
-                // An engine that can't be ordered now serves what it holds, or nothing.
+                // An engine with a pending order can only serve layers that it holds, or none.
                 if (chain[i].hasPendingOrder && to > from && !chain[i].layers.contains({from, to})) {
                     continue;
                 }
@@ -129,11 +129,11 @@
     return partition;
 }
 
-/// The cheapest cut with one engine moved to the start of a gap.
+/// The cheapest partition with one engine moved to the start of an uncovered range.
 ///
-/// A lost engine with many layers leaves more than its neighbours can add to their own. Handed on from neighbour to
-/// neighbour, the gap makes every engine of the group give up its layers; one engine that moves into it leaves a gap of its
-/// own that its neighbours can take.
+/// A lost engine with many layers leaves more than its neighbours can add to their own. If the range is passed on from
+/// neighbour to neighbour, every engine of the group releases layers. A single engine that moves into it instead leaves an
+/// uncovered range that its own neighbours can take.
 static Partition partitionWithMove(const EngineModel &model, const EngineGroup &chain, const std::vector<int> &copies, const PlacementTuning &tuning)
 {
     const std::vector<double> releaseSums = releaseCostPrefixSums(copies, tuning);
@@ -161,10 +161,10 @@
     return best;
 }
 
-/// Orders what a cut changes.
+/// Adds the orders for what a partition changes.
 ///
-/// While engines that are about to leave still serve their layers, the chain works: those that add layers go first, and
-/// layers that nobody else holds are given up only when nothing else is left to do.
+/// While leaving engines still serve their layers, the chain works. Engines that only add layers are then ordered first, and
+/// layers without another holder are released only if there is nothing to add.
 static void addOrders(const EngineModel &model, EngineGroup &group, const Partition &partition, const PlacementTuning &tuning, std::vector<int> &copies,
                       std::vector<PlacementOrder> &orders)
 {
@@ -181,20 +181,20 @@
         }
         const LayerRange held = rangeToLoad(model, partition.chain[i], partition.stages[i], tuning);
         const bool releases = releaseCost(engine, held, releaseSums) >= tuning.releaseCost;
-        (releases ? releasing : adding).push_back({engine.id, held, "gap shared out"});
+        (releases ? releasing : adding).push_back({engine.id, held, "uncovered layers redistributed"});
     }
     const bool isServing = servesAllLayers(model, group);
     if (!isServing || adding.empty()) {
         adding.insert(adding.end(), releasing.begin(), releasing.end());
     }
     for (PlacementOrder &order : adding) {
-        assignLayers(*findEngine(group, order.id), order.layers, "gap shared out", copies, orders);
-        // Streams in a group whose chain is broken get no events; waiting for them would keep it broken for seconds.
+        assignLayers(*findEngine(group, order.id), order.layers, "uncovered layers redistributed", copies, orders);
+        // Streams in a group without a complete chain get no events; waiting for them would leave it incomplete for seconds.
         orders.back().dropsStreams = !isServing;
     }
 }
 
-/// Cuts the ranges of a group with gaps anew.
+/// Repartitions the ranges of a group with uncovered layers.
 static void repartition(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
                         std::vector<PlacementOrder> &orders)
 {
@@ -224,7 +224,7 @@
     const bool isChanging = std::any_of(group.begin(), group.end(), [](const PlacedEngine &engine) {
         return engine.hasPendingOrder;
     });
-    // A cut around engines that can't be ordered now would move most of the others; theirs are done within seconds.
+    // Repartitioning around engines with pending orders would move most of the others; the orders are done within seconds.
     if (!isChanging) {
         repartition(model, group, tuning, copies, orders);
     }
--- a/src/policy/fallback_leader.h
+++ b/src/policy/fallback_leader.h
@@ -1,7 +1,7 @@
-// Who places layers while the store answers nobody.
+// Decides which entry places layers while the store is unreachable.
 //
-// The lease says who does it; without the store nobody can renew or take it, and engines lost meanwhile would leave their
-// data centre without a chain for the whole outage.
+// Normally the holder of the lease does. Without the store no entry can renew or acquire the lease, and the layers of engines
+// lost meanwhile would leave their data centre without a chain for the entire outage.
 //
 // Pure: the caller passes times in.
 #pragma once
@@ -14,30 +14,31 @@
 namespace Parsleytrail
 {
 
-/// Another entry as last heard.
+/// State of another entry, as last reported.
 struct FallbackLeaderPeer {
     std::string id;           ///< of the entry
-    bool isStoreLost = false; ///< the store does not answer it
-    bool isDraining = false;  ///< it is stopping
-    bool isOrdering = false;  ///< it gives orders, with the lease or without
+    bool isStoreLost = false; ///< the entry can't reach the store
+    bool isDraining = false;  ///< the entry is shutting down
+    bool isOrdering = false;  ///< the entry gives placement orders, with or without the lease
 };
 
-/// What this entry knows.
+/// State of this entry and its peers.
 struct FallbackLeaderView {
     std::string self;                        ///< id of this entry
-    bool isStoreLost = false;                ///< the store does not answer this entry
-    milliseconds storeLostFor{0};            ///< since when
-    bool wasLastLeaseHolder = false;         ///< the lease was this entry's when the store last answered it
-    bool isOrdering = false;                 ///< it gave orders until now
-    std::vector<FallbackLeaderPeer> peers{}; ///< entries that are heard
+    bool isStoreLost = false;                ///< this entry can't reach the store
+    milliseconds storeLostFor{0};            ///< time since the store was last reachable
+    bool wasLastLeaseHolder = false;         ///< this entry held the lease when it last reached the store
+    bool isOrdering = false;                 ///< this entry has given orders without the lease so far
+    std::vector<FallbackLeaderPeer> peers{}; ///< reachable entries
 };
 
-/// Without the store for this long, any lease that was held has ended: longer than the longest lease.
+/// Every lease has expired after this time without the store: longer than the longest lease.
 constexpr milliseconds leaseExpiryBound{4000};
 
-/// Whether this entry may give orders without the lease. Its last holder goes on at once, as nobody can have taken it who
-/// would not be heard to reach the store; without it the first of the entries acts once all leases are over. Two that do not
-/// hear each other may both act: engines carry out only the order that fits their state.
+/// Whether this entry may give orders without the lease. The last lease holder continues at once: an entry that has acquired
+/// the lease since would report that it reaches the store. Without the last holder, the entry with the lowest id takes over
+/// once all leases have expired. Two entries that can't reach each other may both give orders; engines execute only the
+/// order that matches their state.
 bool mayOrderWithoutLease(const FallbackLeaderView &view);
 
 } // namespace Parsleytrail
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -22,7 +22,7 @@
     const bool hasRestarted = registered.startedAtMs > known.registered.startedAtMs;
     const int openRequests = known.openRequests;
     if (hasRestarted) {
-        // Failures and orders of the start before say nothing of this one; open requests end by themselves.
+        // Failures and orders before the restart don't apply any more; requests that are still open end by themselves.
         known = Target();
         known.openRequests = openRequests;
         known.registeredAt = now;
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -1,11 +1,11 @@
-// The targets that a relay knows: what the registry says of them, and what it has seen of them itself.
+// The targets of a relay: their registry entries and the state that this process has observed.
 //
 //     Fleet fleet;
-//     noteListed(fleet, target, now);               // from the registry
-//     noteFailure(fleet, id, now, pause);           // from a request
+//     recordRegistration(fleet, target, now);             // a registry entry was added or updated
+//     recordFailure(*findTarget(fleet, id), now);         // a request or a probe failed
 //     if (isUsable(*findTarget(fleet, id), now)) ...
 //
-// Pure: the caller passes the time in. A Target* stays good until the target is removed.
+// Pure: the caller passes the time in. A Target* stays valid until the target is removed.
 #pragma once
 
 #include "base/address.h"
@@ -21,7 +21,7 @@
 namespace Parsleytrail
 {
 
-/// Layers [from, to) of a model.
+/// Half-open range [from, to) of a model's layers.
 struct LayerRange {
     int from = 0; ///< first layer
     int to = 0;   ///< one past the last layer
@@ -35,90 +35,91 @@
     {
         return from <= other.from && other.to <= to;
     }
-    /// The part of it that a model with `layers` layers has: what engines report may be wrong. Empty or less if there is none.
+    /// The intersection with the layers of a model that has `layers` of them, because engines may report a wrong range. The
+    /// count is zero or negative if they don't intersect.
     LayerRange within(int layers) const
     {
         return {from < 0 ? 0 : from, to > layers ? layers : to};
     }
 };
 
-/// What the registry says of a target.
+/// A target's entry in the registry.
 struct RegisteredTarget {
-    TargetId id;                   ///< changes with most starts
-    ServiceName service;           ///< service that it serves
-    Address address;               ///< where it takes requests
-    std::string dataCenter;        ///< where it stands
-    bool isDraining = false;       ///< leaving: takes no new work
-    int slots = 0;                 ///< requests served side by side
-    std::string accelerator;       ///< kind of accelerator; empty for plain services
+    TargetId id;                   ///< changes with most restarts
+    ServiceName service;           ///< service that it runs
+    Address address;               ///< address that accepts requests
+    std::string dataCenter;        ///< location
+    bool isDraining = false;       ///< shutting down: accepts no new work
+    int slots = 0;                 ///< concurrent requests
+    std::string accelerator;       ///< kind of accelerator; empty for services without an engine
     LayerRange layers;             ///< layers held; empty: none
-    std::uint64_t startedAtMs = 0; ///< its start, Unix milliseconds; a later start is higher
+    std::uint64_t startedAtMs = 0; ///< start time, Unix milliseconds; tells a restart from an older entry
 
     bool operator==(const RegisteredTarget &) const = default;
 };
 
-/// A target with what this process has seen of it.
+/// A target and what this process has observed of it.
 struct Target {
-    RegisteredTarget registered;      ///< newest entry of the registry
-    TimePoint registeredAt{};         ///< when this start of it was first listed
-    bool isRestart = false;           ///< it, or one with its address, was listed before: a restart, not an addition
-    TimePoint avoidUntil{};           ///< gets no work before, after a failure
-    int failuresInRow = 0;            ///< requests and questions that failed since the last request that did not
-    int probeTimeoutsInRow = 0;       ///< questions that it did not answer since the last that it did
-    int refusalsInRow = 0;            ///< requests that it refused without running them, since the last that it took
-    int peersAvoiding = 0;            ///< other entries that give it no work for now, after failures or refusals, as last heard
-    bool needsProbe = false;          ///< gets no work before it has answered a question, besides avoidUntil
-    bool hasReportedOrders = false;   ///< it has told ordersAccepted itself
+    RegisteredTarget registered;      ///< latest registry entry
+    TimePoint registeredAt{};         ///< when the current start of the target was first registered
+    bool isRestart = false;           ///< its id or its address was registered before: a restart, not an added instance
+    TimePoint avoidUntil{};           ///< after failures or refusals: gets no work before this time
+    int failuresInRow = 0;            ///< requests and probes that failed since the last successful request
+    int probeTimeoutsInRow = 0;       ///< probes that timed out since the last one that was answered
+    int refusalsInRow = 0;            ///< requests that it refused without running them, since the last successful request
+    int peersAvoiding = 0;            ///< other entries that send it no work at present, after failures or refusals, as last reported
+    bool needsProbe = false;          ///< gets no work until it has answered a probe, even after avoidUntil
+    bool hasReportedOrders = false;   ///< ordersAccepted comes from the target itself
     TimePoint reportedAt{};           ///< when it last reported; zero: never
-    double slowdownFactor = 1;        ///< times as long as usual for each pass, as it last reported
-    bool isExecutingOrder = false;    ///< it carries out an order, as it last reported
-    std::uint64_t ordersAccepted = 0; ///< orders begun since its start, as it last reported
+    double slowdownFactor = 1;        ///< duration of a pass relative to the normal one, as last reported
+    bool isExecutingOrder = false;    ///< an order is in progress, as last reported
+    std::uint64_t ordersAccepted = 0; ///< orders begun since its start, as last reported
     int openRequests = 0;             ///< of this process
     double kvTokenLayers = 0;         ///< KV cache that this process's open requests are expected to need, tokens x layers
-    double peersKvTokenLayers = 0;    ///< the same of the other entries, as last heard
-    int peersOpenRequests = 0;        ///< open requests of the other entries, as last heard
+    double peersKvTokenLayers = 0;    ///< KV cache that the open requests of other entries need, tokens x layers, as last reported
+    int peersOpenRequests = 0;        ///< open requests of the other entries, as last reported
 };
 
-/// All targets.
+/// All registered targets.
 struct Fleet {
     std::map<TargetId, Target> targets; ///< by id
-    std::set<Address> knownAddresses;   ///< of all targets listed so far; as many as the instances that ever held one
+    std::set<Address> knownAddresses;   ///< of all targets registered so far, removed ones too; bounded by the number of instances that ever existed
 };
 
-/// Adds or updates a target. A later start of the same id is a new target: what was seen of the old one is forgotten.
-/// Returns false if the entry tells of an earlier start than the known one, and ignores it.
+/// Adds or updates a target. A later start of the same id is a new target, whose observed state is reset. Returns false and
+/// ignores the entry if it belongs to an earlier start than the known one.
 bool recordRegistration(Fleet &fleet, const RegisteredTarget &registered, TimePoint now);
 void recordRemoval(Fleet &fleet, const TargetId &id);
 
 Target *findTarget(Fleet &fleet, const TargetId &id);
 const Target *findTarget(const Fleet &fleet, const TargetId &id);
-/// The target at an address; null if none is listed there. Of several the last started.
+/// The target at an address, the last started if there are several; null if none is registered there.
 Target *findTargetAt(Fleet &fleet, const Address &address);
-/// Requests open at it, of this entry and of the others as last heard.
+/// Open requests of this entry and, as last reported, of the other entries.
 int totalOpenRequests(const Target &target);
-/// Whether new work may be sent to it.
+/// Whether new work may be sent to the target.
 bool isUsable(const Target &target, TimePoint now);
 
-/// First pause after a failure; doubles with each failure in a row. A crashed engine is back after some seconds, and a
-/// request sent to it costs an attempt: long enough not to spend many, short enough to find it back at once.
+/// Initial backoff after a failure; doubles with each consecutive failure. A crashed engine restarts within seconds, and
+/// each request sent to it costs an attempt: the backoff limits the wasted attempts and still detects the restart early.
 constexpr milliseconds initialFailureBackoff{400};
-/// Longest pause after failures in a row.
+/// Upper bound of the backoff after consecutive failures.
 constexpr milliseconds maxFailureBackoff{3000};
 void recordFailure(Target &target, TimePoint now);
 
-/// First pause after a refusal; doubles with each in a row. An engine refuses while it drains, which the registry tells a
-/// second later or two, or while its slots or its KV cache are full, which ends with the next of its streams.
+/// Initial backoff after a refusal; doubles with each consecutive refusal. An engine refuses while it drains, which the
+/// registry reports one or two seconds later, or while its slots or its KV cache are full, until one of its streams ends.
 constexpr milliseconds initialRefusalBackoff{200};
-/// Longest pause after refusals in a row: the news that an engine drains is there by then.
+/// Upper bound of the backoff after consecutive refusals: the registry has reported a draining engine by then.
 constexpr milliseconds maxRefusalBackoff{1600};
-/// Pauses work to a target that refused some. It works, and its layers are not lost.
+/// Backs off from a target that refused a request. The target is healthy: its layers don't count as lost.
 void recordRefusal(Target &target, TimePoint now);
-/// Whether requests or questions to it fail.
+/// Whether requests or probes fail. False for a draining target.
 bool isFailing(const Target &target, TimePoint now);
-/// Whether it gets no work for now, after failures or refusals: other entries are told, and prefer others.
+/// Whether it gets no work at present, after failures or refusals. Reported to other entries, which then prefer other targets.
 bool isAvoided(const Target &target, TimePoint now);
 void recordSuccess(Target &target);
-/// It answered a question: it lives, though requests to it may still fail.
+/// Records that the target answered a probe. It is reachable, but requests to it may still fail.
 void recordProbeResponse(Target &target);
 
 } // namespace Parsleytrail
--- a/src/policy/idle_engine_assignment.cpp
+++ b/src/policy/idle_engine_assignment.cpp
@@ -5,22 +5,22 @@
 namespace Parsleytrail
 {
 
-/// Streams that one of an engine's layers has room for, if it holds that many.
+/// Streams for which an engine has KV cache if it holds that many layers.
 static double streamCapacityOfEngine(const EngineModel &model, const PlacedEngine &engine, int layers)
 {
-    // Where usual requests are not known, room is compared by memory alone.
+    // If the size of typical requests is not configured, capacities are compared by memory alone.
     const double streamLayerMb = kvMbPerStreamLayer(model) > 0 ? kvMbPerStreamLayer(model) : 1;
     const double freeMb = std::max(0.0, memoryOf(model, engine) - layers * model.layerMb);
     return freeMb / (layers * streamLayerMb);
 }
 
-/// The same for one layer: chains begin at layer 0, and an engine takes a limited number of requests that begin there.
+/// The same at one layer. Chains begin at layer 0, where an engine accepts a limited number of requests.
 static double streamCapacityAtLayer(const EngineModel &model, double streams, int layer)
 {
     return layer == 0 && model.batchSlots > 0 ? std::min<double>(streams, model.batchSlots) : streams;
 }
 
-/// Streams that each layer has room for at all of its holders, with engines that hold much counting little.
+/// Streams that each layer can serve at all of its holders; an engine that holds many layers adds little to each.
 static std::vector<double> streamCapacityByLayer(const EngineModel &model, const EngineGroup &group)
 {
     std::vector<double> streams(model.layers, 0);
@@ -37,15 +37,16 @@
     return streams;
 }
 
-/// How much a layer with this room holds chains back: the narrowest layer counts most, then how many are as narrow.
+/// Weight of a layer with this stream capacity in the search for a range. The fourth power lets the layers with the least
+/// capacity dominate, then their number.
 static double bottleneckWeight(double streams)
 {
     const double weight = 1 / (1 + streams);
     return weight * weight * weight * weight;
 }
 
-/// The range for an empty engine after which the layers need least. It may be longer or shorter than the engine's usual
-/// share: one layer left out of a narrow stretch holds all chains back as much as the whole stretch did.
+/// The range for an idle engine that lowers the sum of bottleneck weights most. It may be longer or shorter than the engine's
+/// usual share: one layer left out of a bottleneck range limits all chains as much as the entire range did.
 static LayerRange mostRelievingRange(const EngineModel &model, const PlacedEngine &engine, const std::vector<double> &streams, const PlacementTuning &tuning)
 {
     std::vector<double> weights;
@@ -58,7 +59,7 @@
     const int maxLayers = layersThatFit(model, engine, tuning.emergencyShare);
     for (int count = 1; count <= maxLayers; ++count) {
         const double capacity = streamCapacityOfEngine(model, engine, count);
-        std::vector<double> reliefs = {0}; // sums over the layers below each
+        std::vector<double> reliefs = {0}; // prefix sums over the layers
         for (int layer = 0; layer < model.layers; ++layer) {
             const double relieved = bottleneckWeight(streams[layer] + streamCapacityAtLayer(model, capacity, layer));
             reliefs.push_back(reliefs.back() + weights[layer] - relieved);
@@ -83,7 +84,7 @@
         }
         const LayerRange range = mostRelievingRange(model, engine, streamCapacityByLayer(model, group), tuning);
         if (range.count() > 0) {
-            assignLayers(engine, range, "empty engine employed", copies, orders);
+            assignLayers(engine, range, "idle engine assigned", copies, orders);
         }
     }
 }
--- a/src/policy/idle_engine_assignment.h
+++ b/src/policy/idle_engine_assignment.h
@@ -1,4 +1,4 @@
-// What engines that hold nothing are given once all layers are held.
+// Assigns layers to idle engines once all layers are covered.
 #pragma once
 
 #include "policy/engine_group.h"
@@ -6,8 +6,8 @@
 namespace Parsleytrail
 {
 
-/// Gives each empty engine the part of the model that holds chains back most: where an engine was lost, or took over the
-/// layers of a lost neighbour.
+/// Gives each idle engine the range that raises the capacity of chains most, for instance where an engine was lost or took
+/// over the layers of a lost neighbour.
 void assignIdleEngines(const EngineModel &model, EngineGroup &group, const PlacementTuning &tuning, std::vector<int> &copies,
                        std::vector<PlacementOrder> &orders);
 
--- a/src/policy/initial_placement.cpp
+++ b/src/policy/initial_placement.cpp
@@ -5,10 +5,11 @@
 namespace Parsleytrail
 {
 
-/// How many layers each engine of a chain holds: one after the other goes to the engine that keeps most memory for each layer.
+/// The number of layers of each engine of a chain: each layer goes to the engine that then has the most memory per layer.
 ///
-/// A chain takes as many streams as its narrowest engine has KV cache for, and each layer needs the same cache. Shares that
-/// are rounded leave a small engine with one layer too many and next to no cache, while those beside it stand half empty.
+/// A chain runs as many streams as the engine with the least KV cache per layer can hold, and each layer needs the same amount
+/// of cache. Rounded proportional shares would leave a small engine with one layer too many and almost no cache, while the
+/// other engines are half empty.
 static std::vector<int> layerCountsOfChain(const EngineModel &model, const EngineGroup &chain)
 {
     std::vector<int> counts(chain.size(), 0);
@@ -27,8 +28,8 @@
     return counts;
 }
 
-/// Cuts the model into consecutive ranges, so that the narrowest engine has the most KV cache for each layer. Returns no
-/// orders if the engines' memory does not hold the model.
+/// Splits the model into consecutive ranges that maximize the smallest KV cache per layer. Returns no orders if the engines'
+/// memory can't hold the model.
 static std::vector<PlacementOrder> splitLayers(const EngineModel &model, const EngineGroup &chain)
 {
     std::vector<PlacementOrder> orders;
@@ -42,14 +43,14 @@
             return {};
         }
         if (counts[i] > 0) {
-            orders.push_back({chain[i].id, {from, from + counts[i]}, "first plan"});
+            orders.push_back({chain[i].id, {from, from + counts[i]}, "initial placement"});
             from += counts[i];
         }
     }
     return orders;
 }
 
-/// Deals the engines, largest first, to chains of nearly equal memory.
+/// Distributes the engines, largest first, over chains of nearly equal memory.
 static std::vector<EngineGroup> partitionIntoChains(const EngineModel &model, EngineGroup group, int chains)
 {
     std::stable_sort(group.begin(), group.end(), [&](const PlacedEngine &a, const PlacedEngine &b) {
@@ -67,11 +68,12 @@
     return assigned;
 }
 
-/// What a number of whole copies is worth: streams that run at once, limited by KV cache and by the slots of first engines,
-/// and those that still do once an engine of one copy is lost, with whose layers that copy is.
+/// Expected stream capacity with a number of full copies: the concurrent streams, limited by KV cache and by the slots of
+/// first engines, plus the concurrent streams that remain after an engine, and with it one copy, is lost.
 ///
-/// With two copies an engine that dies leaves no gap, and each copy's first engine takes requests. One copy too many takes
-/// the KV cache of the others: each loss then makes a data centre too small for its callers, and prompts are read again.
+/// With two copies the loss of an engine leaves no layer uncovered, and the first engine of each copy accepts requests. One
+/// copy too many uses up the KV cache of the others: after each loss the data centre is too small for its load, and prompts
+/// are processed again.
 static double streamCapacityOfCopies(double memoryMb, double copyMb, double streamMb, double slots, int copies)
 {
     const double cached = std::max(0.0, memoryMb - copies * copyMb) / streamMb;
@@ -80,7 +82,7 @@
     return streams + streamsAfterLoss;
 }
 
-/// How many whole copies a group should hold.
+/// The number of full copies that a group should hold.
 static int bestCopyCount(const EngineModel &model, const EngineGroup &group, const PlacementTuning &tuning)
 {
     const double memory = groupMemory(model, group);
@@ -89,7 +91,7 @@
     if (streamMb <= 0 || model.batchSlots <= 0) {
         return std::max(1, static_cast<int>(memory * tuning.layerShare / copyMb));
     }
-    // What the streams of one first engine need is never given to a copy.
+    // The KV cache for the streams of one first engine is never given up for a copy.
     const int maxCopies = static_cast<int>((memory - streamMb * model.batchSlots) / copyMb);
     int best = 1;
     double bestCapacity = 0;
@@ -111,7 +113,7 @@
             staying.push_back(engine);
         }
     }
-    // Few large engines can't always be dealt evenly: one whole copy less is better than a part of one.
+    // A few large engines can't always be distributed evenly: one full copy less is better than an incomplete one.
     for (int copies = bestCopyCount(model, staying, tuning); copies > 0; --copies) {
         std::vector<PlacementOrder> plan;
         bool isComplete = true;
--- a/src/policy/initial_placement.h
+++ b/src/policy/initial_placement.h
@@ -1,4 +1,4 @@
-// The plan for a group of engines that hold nothing: how many whole copies of the model, and which range each engine holds.
+// Initial placement for a group of engines that hold nothing: the number of full copies of the model and each engine's range.
 #pragma once
 
 #include "policy/engine_group.h"
@@ -6,7 +6,7 @@
 namespace Parsleytrail
 {
 
-/// Adds the orders of the first plan; none if the engines' memory does not hold the model.
+/// Adds the orders of the initial placement; none if the engines' memory can't hold the model.
 void planInitialPlacement(const EngineModel &model, const EngineGroup &group, const PlacementTuning &tuning, std::vector<PlacementOrder> &orders);
 
 } // namespace Parsleytrail
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -9,7 +9,7 @@
 namespace Parsleytrail
 {
 
-/// One order an engine: a later one of the same plan replaces an earlier one.
+/// Keeps one order per engine: a later order of the same plan replaces an earlier one.
 static std::vector<PlacementOrder> lastOrders(const std::vector<PlacementOrder> &orders)
 {
     std::vector<PlacementOrder> last;
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -1,10 +1,10 @@
-// Which layers each engine holds.
+// Decides which layers each engine holds.
 //
-// A plan is made for each group of engines: a data centre whose memory holds the model whole is a group of its own, so
-// that activations stay inside it; the engines of all others form one group together. Engines that hold layers keep
-// them where they can: loading takes seconds, and memory that layers take is lost to KV cache.
+// Each group of engines is planned by itself: a data centre with enough memory for the full model is a group of its own, so
+// that activations stay inside it; the engines of all other data centres form one group. Engines keep the layers that they
+// hold if possible: loading takes seconds, and memory used for layers is not available for KV cache.
 //
-// Pure: equal inputs give equal plans, whoever computes them.
+// Pure: equal inputs give equal plans on every entry.
 #pragma once
 
 #include "policy/fleet.h"
@@ -16,50 +16,51 @@
 namespace Parsleytrail
 {
 
-/// An engine as the planner sees it.
+/// The planner's view of an engine.
 struct PlacedEngine {
-    TargetId id;                  ///< names it in orders
-    std::string dataCenter;       ///< where it stands
+    TargetId id;                  ///< target of orders
+    std::string dataCenter;       ///< location
     std::string kind;             ///< kind of accelerator
-    LayerRange layers;            ///< ordered, or held if nothing is on its way; empty: none
-    bool hasPendingOrder = false; ///< an order is being carried out: takes no other before it is done
-    bool isNew = false;           ///< came a moment ago: kept free for the layers of the engine that it may replace
-    bool isLeaving = false;       ///< draining or dead: what it holds is about to be lost
-    bool isUnreachable = false;   ///< does not answer: what it holds serves nobody
+    LayerRange layers;            ///< layers of the pending order, else layers held; empty: none
+    bool hasPendingOrder = false; ///< an order is in progress: accepts no other until it is done
+    bool isNew = false;           ///< recently added: stays idle for the layers of an engine that it may replace
+    bool isLeaving = false;       ///< draining, refusing work or unreachable: its layers are about to be lost
+    bool isUnreachable = false;   ///< doesn't respond: its layers serve no requests
 };
 
-/// An engine that should hold another range.
+/// A new layer range for an engine.
 struct PlacementOrder {
     TargetId id;               ///< engine
-    LayerRange layers;         ///< range that it shall hold
+    LayerRange layers;         ///< range to hold
     std::string reason;        ///< for logs
-    bool dropsStreams = false; ///< need not wait for streams in layers that are given up
+    bool dropsStreams = false; ///< the engine doesn't wait for streams in the layers that it releases
 
     bool operator==(const PlacementOrder &) const = default;
 };
 
-/// Weights of the planner.
+/// Limits and costs of the planner.
 struct PlacementTuning {
-    /// Share of memory that layers take in calm times: of an engine that is employed or, where the usual streams are not
-    /// known, of a group. What is left holds KV cache: at the loads given, streams at once need a third of a copy's memory.
+    /// Share of memory that layers normally take: of an engine that is repartitioned or, if the size of typical requests is not
+    /// configured, of a group. The remainder holds KV cache: at the given loads, concurrent streams need a third of the memory of
+    /// a copy of the model.
     double layerShare = 0.62;
-    /// Share of one engine's memory that layers may take when the range of a lost engine is shared out. What is left holds
-    /// the KV cache of some tens of streams.
+    /// Share of one engine's memory that layers may take when idle engines are assigned or a lost range is redistributed. The
+    /// remainder holds the KV cache of some tens of streams.
     double emergencyShare = 0.88;
-    /// Cost of a full engine against that of loading one layer, when ranges are cut anew: an engine at twice the usual
-    /// fill takes half as many streams, and with it the whole chain.
+    /// Cost of an engine at its normal fill, relative to loading one layer, when ranges are repartitioned; grows with the fourth
+    /// power of the fill. An engine at twice the normal fill runs half as many streams, and so does the entire chain.
     double fillCost = 3;
-    /// Cost of giving up a layer that nobody else holds, against that of loading one: chains that work break, and the engine
-    /// takes new layers only when the streams that pass through it have ended, which takes as long as some twenty loads.
+    /// Cost of releasing a layer that no other engine holds, relative to loading one: working chains break, and the engine loads
+    /// new layers only after the streams that pass through it have ended, which takes as long as about twenty loads.
     double releaseCost = 5;
-    /// The same for a layer that another engine holds: nothing breaks, but new layers still wait for the streams in it.
+    /// Cost of releasing a layer that another engine holds too: no chain breaks, but new layers still wait for its streams.
     double releaseSharedCost = 1;
 };
 
-/// Orders that bring the engines to the plan; empty if nothing needs to change.
+/// Orders that lead to the planned placement; empty if nothing needs to change.
 std::vector<PlacementOrder> planPlacement(const EngineModel &model, const std::vector<PlacedEngine> &engines, const PlacementTuning &tuning = {});
 
-/// Layers that no engine of the group of `dataCenter` holds; for status and tests.
+/// Layers that no engine of `dataCenter` holds, leaving engines not counted; for status and tests.
 std::vector<LayerRange> uncoveredLayers(const EngineModel &model, const std::vector<PlacedEngine> &engines, const std::string &dataCenter);
 
 } // namespace Parsleytrail
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing: each member picks the same few peers as long as they live, and a change moves few members.
+// Rendezvous hashing: each member selects the same few peers while they live, and a change of peers affects few members.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace Parsleytrail
 {
 
-/// Indices of the `count` peers that rank highest for `member`, best first. All of them if there are no more.
+/// Indices of the `count` peers that rank highest for `member`, best first; all peers if there are no more than `count`.
 std::vector<std::size_t> pickPeers(std::string_view member, const std::vector<std::string> &peers, std::size_t count);
 
 } // namespace Parsleytrail
--- a/src/policy/routes.cpp
+++ b/src/policy/routes.cpp
@@ -38,7 +38,7 @@
 {
     const std::string_view name = host.substr(0, host.find(':'));
     std::string key = indexKey(name, path);
-    // Prefixes end with a slash: only the path cut after each of its slashes can match, the longest first.
+    // Prefixes end with a slash: only the path up to and including one of its slashes can match; the longest is tried first.
     for (std::size_t end = path.rfind('/'); end != std::string_view::npos; end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
         key.resize(name.size() + end + 1);
         const auto it = table.routeIndex.find(key);
--- a/tests/chain_selection_test.cpp
+++ b/tests/chain_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which engines a stream passes through: room, slots, data centres, slow and failed engines.
+// Selection of the engines for a stream: KV cache, slots, data centres, slow and failed engines.
 #include "policy/chain_selection.h"
 #include "policy/cross_data_center_budget.h"
 #include "policy/fleet.h"
@@ -16,7 +16,7 @@
 
 constexpr TimePoint start{std::chrono::seconds(1000)};
 
-/// A fleet of engines that hold the given ranges.
+/// Builds a fleet of engines that hold the given ranges.
 struct FleetBuilder {
     Fleet fleet;
     int next = 0;
@@ -45,7 +45,7 @@
     return context;
 }
 
-/// Every layer once and in order, no engine twice, each part held by its engine.
+/// Checks that every layer is applied once and in order, no engine is used twice, and each engine holds its stage.
 void checkChain(const EngineModel &model, const Fleet &fleet, const std::vector<ChainStage> &chain)
 {
     BOOST_REQUIRE(!chain.empty());
@@ -82,8 +82,8 @@
 
 BOOST_AUTO_TEST_CASE(chainsStayInADataCenter)
 {
-    // The home data centre lacks layers 40-60. Activations of every token would cross twice; a whole chain elsewhere moves
-    // only the events.
+    // The home data centre lacks layers 40-60. A mixed chain sends the activations of every token between data centres twice; a
+    // complete chain in the other one sends only the events.
     const EngineModel model = lightModel();
     FleetBuilder builder;
     builder.add("home", {0, 40});
@@ -115,7 +115,8 @@
 
 BOOST_AUTO_TEST_CASE(aFullFleetStillCoversAllLayers)
 {
-    // Callers refused by a full fleet were told to come back when missing layers are loaded, and the log named a gap.
+    // Guards against a full fleet being taken for one with uncovered layers: refused callers were told to retry once missing
+    // layers are loaded, and the log reported uncovered layers.
     const EngineModel model = lightModel();
     FleetBuilder builder;
     Target *target = findTarget(builder.fleet, builder.add("home", {0, 80}, "huge"));
@@ -129,10 +130,10 @@
 
 BOOST_AUTO_TEST_CASE(crossDataCenterTrafficStaysUnderTheLinkCapacity)
 {
-    // A burst fills a different part in each data centre, and chains across them are the only ones with room. All streams
-    // took them: the pipe was filled many times over, callers saw nothing for two seconds and left, and the KV cache of
-    // the streams that waited kept both data centres full long after the burst. What all entries together let across
-    // must stay under what the pipe carries, for requests of any size.
+    // A burst fills different layers in each data centre, so that only chains across data centres have free capacity. When all
+    // streams used them, the link was overloaded many times over, callers got no event for two seconds and disconnected, and the
+    // KV cache of the delayed streams kept both data centres full long after the burst. The traffic that all entries together
+    // allow must stay under the link's capacity, for requests of any size.
     EngineModel model = lightModel();
     model.activationBytes = 16400;
     model.dataCenterLinkMbps = 3120;
@@ -158,7 +159,7 @@
     BOOST_TEST(crossDataCenterBytes(builder.fleet, model, {chain[0], chain[1]}, {100, 200}) == 0);
     RateBudget unknown = makeCrossDataCenterBudget(lightModel(), entries);
     consumeCrossDataCenterBudget(unknown, 1e12);
-    BOOST_TEST(hasCrossDataCenterBudget(unknown, start), "a fleet that no data centre holds is served whatever the pipe");
+    BOOST_TEST(hasCrossDataCenterBudget(unknown, start), "with a link of unknown capacity, traffic between data centres is not limited");
 }
 
 BOOST_AUTO_TEST_CASE(loadSpreadsOverEqualEngines)
@@ -179,9 +180,9 @@
 
 BOOST_AUTO_TEST_CASE(chainsAvoidSlowEngines)
 {
-    // An engine turns twelve times slower. It answers and passes events on, so that streams through it are late to the end;
-    // half of all chains went on beginning there, though another engine holds the same layers. It is left alone, but for a
-    // fleet that has no other holder with room.
+    // An engine becomes twelve times slower. It still responds and passes events on, so that streams through it stay late to the
+    // end; half of all chains kept starting there, though another engine holds the same layers. It must be used only if no
+    // other holder has free capacity.
     const EngineModel model = lightModel();
     FleetBuilder builder;
     const TargetId slow = builder.add("a", {0, 40}, "huge");
@@ -218,9 +219,9 @@
 
 BOOST_AUTO_TEST_CASE(enginesAreFilledByTheAverageKvUseOfTheirStreams)
 {
-    // Streams of even lengths begin one after the other, so that at any time they have written half of their answers on
-    // average. Counted with whole answers, an engine refused callers while a part of its KV cache was never used. Half
-    // counted, the engine is used to the planned share at least, and what its streams really hold still fits.
+    // Streams of equal length start one after the other, so that on average half of their answers is written at any time. Planned
+    // with full answers, an engine refused callers while part of its KV cache was never used. Planned with half of them, it must
+    // be used up to the planned share, and what its streams actually hold must still fit.
     const EngineModel model = lightModel();
     const ChainTuning tuning;
     FleetBuilder builder;
@@ -243,9 +244,9 @@
 
 BOOST_AUTO_TEST_CASE(aFirstEngineTakesNoMoreThanItsSlots)
 {
-    // All streams of a data centre begin at one engine, which takes a limited number. Over it the engine refuses them, one
-    // round trip each; the chain elsewhere that has slots free, though farther, is the one to take. A running request
-    // passes through full engines: it has its place.
+    // All streams of a data centre start at one engine with a limited number of slots. Above that number it refuses streams, at
+    // the cost of a round trip each; a chain in another data centre with free slots must be preferred. A running request may
+    // still pass through full engines, as it has its slot already.
     const EngineModel model = lightModel();
     FleetBuilder builder;
     const TargetId near = builder.add("home", {0, 80}, "huge");
@@ -285,7 +286,7 @@
     BOOST_TEST((chain[1].id != dead));
 }
 
-/// Guards against an engine that leaves without a word and is tried by each entry, at the cost of a repeat each.
+/// Guards against an engine that shuts down without notice and is tried by each entry, at the cost of one retry per entry.
 BOOST_AUTO_TEST_CASE(anEngineThatPeersAvoidIsUsedOnlyIfTheDataCenterHasNoOther)
 {
     const EngineModel model = lightModel();
@@ -303,7 +304,7 @@
     BOOST_TEST(selectChain(builder.fleet, contextIn(model, "a"), {100, 50}, random).front().id.value == leaving.value);
 }
 
-/// Most streams that any engine holds against the mean, when many entries choose by the same old news.
+/// Peak ratio of an engine's streams to the mean of all engines, when many entries select by the same stale loads.
 static double peakLoadRatioWithStaleLoads(milliseconds reportAge, const ChainTuning &tuning)
 {
     constexpr int dataCenters = 5;
@@ -311,7 +312,7 @@
     constexpr int enginesEach = 3;
     constexpr milliseconds step{20};
     constexpr milliseconds streamTime{2000};
-    constexpr milliseconds between{200}; // two streams of one entry
+    constexpr milliseconds between{200}; // interval between two streams of one entry
     const EngineModel model = lightModel();
     FleetBuilder builder;
     std::vector<TargetId> engines;
@@ -374,7 +375,7 @@
     return worst;
 }
 
-/// Guards against entries of all data centres that choose the same engines until news of their choice comes.
+/// Guards against entries of all data centres selecting the same engines until their loads are reported.
 BOOST_AUTO_TEST_CASE(entriesWithTheSameStaleLoadsDoNotOverloadAnEngine)
 {
     const double peakLoadRatio = peakLoadRatioWithStaleLoads(milliseconds(300), {});
@@ -382,7 +383,7 @@
     ChainTuning everywhere;
     everywhere.remoteStartMs = 1;
     everywhere.jitter = 0.05;
-    BOOST_TEST_MESSAGE("without preference for the own data centre: " << peakLoadRatioWithStaleLoads(milliseconds(300), everywhere));
+    BOOST_TEST_MESSAGE("without a cost for starting in another data centre: " << peakLoadRatioWithStaleLoads(milliseconds(300), everywhere));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/engine_models.h
+++ b/tests/engine_models.h
@@ -1,4 +1,4 @@
-// Models of engines that tests of placement and of chains share.
+// Engine models shared by the tests of placement and of chain selection.
 #pragma once
 
 #include "policy/routes.h"
@@ -6,7 +6,7 @@
 namespace Parsleytrail
 {
 
-/// A model of 80 layers over accelerators of four sizes.
+/// A model of 80 layers and four kinds of accelerators.
 inline EngineModel largeModel()
 {
     EngineModel model;
@@ -20,7 +20,7 @@
     return model;
 }
 
-/// The same with light layers, so that any engine can hold any range.
+/// The same with small layers, so that any engine can hold any range.
 inline EngineModel lightModel()
 {
     EngineModel model = largeModel();
@@ -28,7 +28,7 @@
     return model;
 }
 
-/// The large model with what its engines tell of usual requests, so that room for streams can be told.
+/// The large model with the size of typical requests, so that stream capacities can be computed.
 inline EngineModel modelWithRequestProfile()
 {
     EngineModel model = largeModel();
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which layers each engine holds: first plans, losses, returns.
+// Placement of layers on engines: initial plans, lost engines, returning engines.
 #include "base/text.h"
 #include "policy/placement.h"
 #include "tests/engine_models.h"
@@ -30,7 +30,7 @@
     return engines;
 }
 
-/// An engine of the middle kind in data centre "a" that holds nothing.
+/// An engine of kind "middle" in data centre "a" that holds nothing.
 PlacedEngine idleEngine(const std::string &id)
 {
     PlacedEngine engine;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Plans until nothing changes.
+/// Plans and applies orders until nothing changes; returns the number of rounds.
 int planUntilStable(const EngineModel &model, std::vector<PlacedEngine> &engines)
 {
     int rounds = 0;
@@ -68,7 +68,7 @@
         BOOST_TEST(engine.layers.count() * model.layerMb <= findKind(model, engine.kind)->memoryMb);
     }
 }
-/// Holders of the layer that has fewest.
+/// The smallest number of holders over all layers.
 int fewestHolders(const EngineModel &model, const std::vector<PlacedEngine> &engines)
 {
     std::vector<int> holders(model.layers, 0);
@@ -116,8 +116,8 @@
 
 BOOST_AUTO_TEST_CASE(aLostEngineIsReplacedByTheOthers)
 {
-    // Each engine of a data centre is lost in turn. All layers must be held again, at the cost of few loads, and no engine
-    // may be told to hold more than it can.
+    // Each engine of a data centre is lost once. All layers must be held again after few loads (at most nine rounds of orders),
+    // and no engine may hold more than fits into its memory.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 3}});
     planUntilStable(model, engines);
@@ -147,8 +147,8 @@
 
 BOOST_AUTO_TEST_CASE(aNewEngineIsKeptFreeAtFirst)
 {
-    // Engines are replaced one by one, the new one first. Loaded with other layers at once, it could not take those of the
-    // engine that leaves a moment later.
+    // Engines are replaced one by one, the replacement first. If it loads other layers at once, it can't take over those of the
+    // engine that leaves shortly afterwards.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
     planUntilStable(model, engines);
@@ -161,8 +161,8 @@
 
 BOOST_AUTO_TEST_CASE(enginesWithPendingOrdersGetNoOther)
 {
-    // A second engine is lost while the neighbours of the first load its layers. A cut around engines that take no order
-    // moved most of the others (a data centre without a chain for four seconds): the plan waits instead.
+    // A second engine is lost while the neighbours of the first load its layers. Repartitioning around engines that accept no
+    // order moved most of the others, and the data centre had no chain for four seconds; the plan must wait instead.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
     planUntilStable(model, engines);
@@ -199,8 +199,8 @@
 
 BOOST_AUTO_TEST_CASE(copiesLeaveKvCacheForTheStreamsOfAFirstEngine)
 {
-    // 424 GB leave 144 GB beside two copies: room for some 470 streams, more than the 192 of a first engine. With KV cache
-    // of twice the size per token and a quarter less memory, two copies would leave room for 67.
+    // 424 GB minus two copies leave 144 GB: KV cache for about 470 streams, more than the 192 slots of a first engine. With twice
+    // the KV cache per token and a quarter less memory, two copies would leave cache for 67.
     EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> large = makeEngines("a", {{"huge", 1}, {"large", 1}, {"middle", 8}, {"small", 10}});
     applyOrders(large, planPlacement(model, large));
@@ -217,7 +217,7 @@
     BOOST_TEST(layers == model.layers);
 }
 
-/// Guards against a third copy that takes the KV cache of the other two: each loss then left a data centre too small for its callers.
+/// Guards against a third copy that uses up the KV cache of the other two: each loss then left a data centre too small for its load.
 BOOST_AUTO_TEST_CASE(aCopyThatLeavesFewerStreamsAfterALossIsNotHeld)
 {
     const EngineModel model = modelWithRequestProfile();
@@ -229,7 +229,7 @@
     BOOST_TEST(fewestHolders(model, larger) == 3);
 }
 
-/// KV cache for each layer that an engine holds, or would hold with some more, MB.
+/// KV cache per layer, MB, of an engine with its layers and `more` additional ones.
 double cacheMbPerLayer(const EngineModel &model, const PlacedEngine &engine, int more = 0)
 {
     const int layers = engine.layers.count() + more;
@@ -238,16 +238,16 @@
 
 BOOST_AUTO_TEST_CASE(kvCachePerLayerIsBalancedOverAChain)
 {
-    // A burst of streams fills the engine with the least KV cache for each layer. Its chain then takes no more, though all
-    // others stand half empty; callers are refused, come back, and find it full again. So no layer of the narrowest engine
-    // may have a place elsewhere in the chain where it would leave more.
+    // A burst of streams fills the engine with the least KV cache per layer. Its chain then accepts no more, though the other
+    // engines are half empty; refused callers retry and are refused again. So moving a layer from this engine to any other one
+    // of the chain must not leave the other with more cache per layer.
     const EngineModel model = modelWithRequestProfile();
     for (int seed = 0; seed < 20; ++seed) {
         std::mt19937_64 random(seed);
         const auto draw = [&random](int most) {
             return std::uniform_int_distribution<int>(0, most)(random);
         };
-        // At most one whole copy, so that all engines form one chain.
+        // At most one full copy, so that all engines form one chain.
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", draw(1)}, {"large", draw(1)}, {"middle", 4 + draw(2)}, {"small", 4 + draw(2)}});
         applyOrders(engines, planPlacement(model, engines));
         BOOST_REQUIRE(uncoveredLayers(model, engines, "a").empty());
@@ -265,8 +265,8 @@
 
 BOOST_AUTO_TEST_CASE(enginesOfUnknownKindsGetNoLayers)
 {
-    // The list of engines names a kind that the configuration does not know yet, or all engines are leaving: nobody is left
-    // to deal the model to. The plan is empty until that changes; the process that plans relays streams and must go on.
+    // All engines are of a kind that the configuration doesn't contain yet, or all are leaving, so that none can take layers. The
+    // plan must be empty until that changes, and planning must not crash: the same process relays streams.
     const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"unknown", 3}});
     BOOST_TEST(planPlacement(model, engines).empty());
@@ -279,8 +279,8 @@
 
 BOOST_AUTO_TEST_CASE(neighboursOfALeavingEngineAddItsLayersAndReleaseNone)
 {
-    // An engine drains and still serves. Handed on from neighbour to neighbour, its layers made others give up layers that
-    // nobody else held: the chain that worked broke, a second before it had to.
+    // An engine drains and still serves. When its layers were passed on from neighbour to neighbour, other engines released
+    // layers without another holder, which broke the working chain a second before the engine was gone.
     const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 4}});
     planUntilStable(model, engines);
@@ -293,7 +293,7 @@
             const auto before = std::find_if(engines.begin(), engines.end(), [&](const PlacedEngine &engine) {
                 return engine.id == order.id;
             });
-            BOOST_TEST(order.layers.contains(before->layers), remaining[leaving].id.value << " leaves, " << order.id.value << " gives up layers");
+            BOOST_TEST(order.layers.contains(before->layers), remaining[leaving].id.value << " leaves, " << order.id.value << " releases layers");
             BOOST_TEST(!order.dropsStreams);
         }
         planUntilStable(model, remaining);
@@ -303,8 +303,8 @@
 
 BOOST_AUTO_TEST_CASE(anUncoveredRangeTooLargeForItsNeighboursMovesFewEngines)
 {
-    // The largest engine of a data centre dies, with 17 layers. Shifted from neighbour to neighbour, the gap made all
-    // engines load a new range, most of them whole; the data centre had no chain for four seconds.
+    // The largest engine of a data centre fails, with 17 layers. When the uncovered range was shifted from neighbour to neighbour,
+    // all engines loaded a new range, most of them entirely; the data centre had no chain for four seconds.
     const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 3}});
     planUntilStable(model, engines);
@@ -331,8 +331,8 @@
 
 BOOST_AUTO_TEST_CASE(anIdleEngineRelievesTheFullestEngine)
 {
-    // A small engine took over the layers of a lost neighbour and has room for few streams, and with it the whole chain.
-    // The engine that comes back took layers that had room enough.
+    // A small engine took over the layers of a lost neighbour and has KV cache for few streams, which limits the entire chain.
+    // The returning engine was given layers that had enough capacity already.
     const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 13}});
     planUntilStable(model, engines);
@@ -348,9 +348,9 @@
 
 BOOST_AUTO_TEST_CASE(aReturningEngineLeavesNoLayerWithASingleHolder)
 {
-    // One of two holders of a range dies and comes back empty. Given one layer less than before, it left that layer with a
-    // single holder: every chain of the data centre passes through it, and callers were refused for fifteen seconds while
-    // half of all slots and KV cache was free.
+    // One of two holders of a range fails and returns empty. Given one layer less than before, it left that layer with a single
+    // holder. As every chain of the data centre passes through that layer, callers were refused for fifteen seconds while half
+    // of all slots and KV cache was free.
     const EngineModel model = modelWithRequestProfile();
     const std::vector<PlacedEngine> initial = [&] {
         std::vector<PlacedEngine> engines = makeEngines("a", {{"huge", 1}, {"middle", 5}, {"small", 14}});
@@ -362,15 +362,15 @@
         std::vector<PlacedEngine> engines = initial;
         engines[lost].layers = {};
         planUntilStable(model, engines);
-        BOOST_TEST(fewestHolders(model, engines) == 2, initial[lost].id.value << " came back");
+        BOOST_TEST(fewestHolders(model, engines) == 2, initial[lost].id.value << " returned");
         checkMemory(model, engines);
     }
 }
 
 BOOST_AUTO_TEST_CASE(randomFleetsKeepAllLayersThroughLosses)
 {
-    // Twenty fleets of random kinds; a third of the engines is lost one by one. As long as the rest could hold the model
-    // at the emergency share, it must.
+    // Twenty fleets of random kinds; a third of the engines is lost one by one. All layers must be held as long as the remaining
+    // engines can hold the model at the emergency share.
     const EngineModel model = largeModel();
     const PlacementTuning tuning;
     for (int seed = 0; seed < 20; ++seed) {
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -1,4 +1,4 @@
-// The relay's decisions, without a network: routes, the fleet, the duty of placing layers.
+// The relay's decisions without a network: routes, the fleet, the fallback leader of placement.
 #include "policy/fallback_leader.h"
 #include "policy/fleet.h"
 #include "policy/routes.h"
@@ -46,8 +46,8 @@
 
 BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdClearsTheObservedState)
 {
-    // An engine crashes, is avoided, and comes back under its old id: holding nothing, and working.
-    // What was seen of the start before must not keep it out; an entry of that start that comes late must not bring it back.
+    // An engine fails, is avoided, and restarts under its old id, empty and working. The state observed before the restart must
+    // not exclude it, and a delayed registry entry of the earlier start must not replace the newer one.
     Fleet fleet;
     RegisteredTarget registered;
     registered.id = {"e"};
@@ -84,8 +84,8 @@
 
 BOOST_AUTO_TEST_CASE(aRefusalIsNotAFailure)
 {
-    // An engine refuses parts while its memory is full. Taken for failures, the refusals were told to the other entries,
-    // and two of them made its layers count as lost; it works, and is asked again after a pause that grows.
+    // An engine refuses stages while its memory is full. Treated as failures, the refusals were reported to the other entries, and
+    // two of them made its layers count as lost. The engine works, and must be tried again after a growing backoff.
     Target target;
     recordRefusal(target, start);
     BOOST_TEST(!isUsable(target, start));
@@ -103,8 +103,8 @@
     BOOST_TEST(isUsable(target, start + maxRefusalBackoff + initialRefusalBackoff));
 }
 
-/// Guards against a copy of changes since a later one than is known: what lies between was never learned, and work went to
-/// targets that had left.
+/// Guards against a table copy that starts after a later change than the last one received: the changes in between were
+/// lost, and work was sent to targets that had left.
 BOOST_AUTO_TEST_CASE(aTableCopyThatSkipsChangesIsRejected)
 {
     TableCopy copy;
@@ -118,7 +118,7 @@
     BOOST_TEST(goesOnFrom(copy, 149));
 }
 
-/// Guards against 68 entries that each learn by a refusal of their own what the first one could have told them.
+/// Guards against 68 entries that each detect a refusing target by a refusal of their own, though the first one could report it.
 BOOST_AUTO_TEST_CASE(aRefusingTargetIsReportedToPeersWhileItIsAvoided)
 {
     Target target;
@@ -135,8 +135,8 @@
 
 BOOST_AUTO_TEST_CASE(aProbeResponseResetsTimeoutsButNotFailures)
 {
-    // Requests to an engine fail while it answers questions: other engines must not take over its layers, and it is still
-    // avoided for longer with each failure.
+    // Requests to an engine fail while it answers probes. Other engines must not take over its layers, and its backoff must still
+    // grow with each failure.
     Target target;
     recordFailure(target, start);
     recordFailure(target, start);
@@ -151,8 +151,8 @@
 
 BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressIsARestart)
 {
-    // A crashed engine comes back with another id at its address. It replaces nobody and is employed at once; one at an
-    // address never seen may be the successor of an engine that leaves a moment later.
+    // A failed engine returns with another id at its address. It replaces no other engine and is assigned layers at once; an
+    // engine at an unknown address may be the replacement of one that leaves shortly afterwards.
     Fleet fleet;
     RegisteredTarget registered;
     registered.id = {"old"};
@@ -171,12 +171,12 @@
 
 BOOST_AUTO_TEST_CASE(theLastLeaseHolderKeepsOrderingWhileNoEntryReachesTheStore)
 {
-    // The store is down for eight seconds, the lease ends after two, engines leave meanwhile. Until another entry was sure
-    // that all leases were over, four seconds later, nobody gave their layers to others.
+    // The store is down for eight seconds, the lease expires after two, and engines leave meanwhile. Their layers were not
+    // reassigned until another entry could be sure, after four seconds, that all leases had expired.
     FallbackLeaderView holder{"b", true, milliseconds(1500), true, false, {{"a", true}, {"c", true}}};
     BOOST_TEST(mayOrderWithoutLease(holder));
     holder.peers[1].isStoreLost = false;
-    BOOST_TEST(!mayOrderWithoutLease(holder), "an entry that reaches the store can take the lease");
+    BOOST_TEST(!mayOrderWithoutLease(holder), "an entry that reaches the store can acquire the lease");
     holder.peers[1].isStoreLost = true;
     holder.isStoreLost = false;
     BOOST_TEST(!mayOrderWithoutLease(holder));
@@ -184,7 +184,7 @@
 
 BOOST_AUTO_TEST_CASE(theLowestEntryOrdersWhenTheLastLeaseHolderIsLost)
 {
-    // The holder died before the store went away. The first of the others acts, once any lease is over, and only one.
+    // The lease holder failed before the store did. Only the entry with the lowest id acts, once every lease has expired.
     FallbackLeaderView first{"a", true, leaseExpiryBound - milliseconds(1), false, false, {{"b", true}}};
     BOOST_TEST(!mayOrderWithoutLease(first));
     first.storeLostFor = leaseExpiryBound;
@@ -197,7 +197,8 @@
 
 BOOST_AUTO_TEST_CASE(aPausedEntryYieldsToTheActiveLeader)
 {
-    // The last holder was paused while another began to act: it stays with that one. If both act, the first goes on.
+    // The last lease holder was paused while another entry started to give orders: the other one continues. If both give orders,
+    // the entry with the lowest id continues.
     FallbackLeaderView paused{"a", true, milliseconds(9000), true, false, {{"b", true, false, true}}};
     BOOST_TEST(!mayOrderWithoutLease(paused));
     FallbackLeaderView both{"a", true, milliseconds(9000), false, true, {{"b", true, false, true}}};
