--- a/src/policy/coverage_repair.cpp
+++ b/src/policy/coverage_repair.cpp
@@ -100,10 +100,10 @@
     std::vector<int> cameFrom((chain.size() + 1) * width, 0);
     cost[0] = 0;
     for (std::size_t i = 0; i < chain.size(); ++i) {
-        const int most = chain[i].hasPendingOrder ? model.layers : layersThatFit(model, chain[i], tuning.emergencyShare);
+        const int layerLimit = chain[i].hasPendingOrder ? model.layers : layersThatFit(model, chain[i], tuning.emergencyShare);
         for (int from = 0; from <= model.layers; ++from) {
             const double base = cost[i * width + from];
-            for (int to = from; base < unreachableCost && to <= std::min(model.layers, from + most); ++to) {
+            for (int to = from; base < unreachableCost && to <= std::min(model.layers, from + layerLimit); ++to) {
                 // An engine with a pending order can only serve layers that it holds, or none.
                 if (chain[i].hasPendingOrder && to > from && !chain[i].layers.contains({from, to})) {
                     continue;
--- a/src/policy/engine_group.cpp
+++ b/src/policy/engine_group.cpp
@@ -79,17 +79,17 @@
 
 std::vector<LayerRange> uncoveredRanges(const std::vector<int> &copies)
 {
-    std::vector<LayerRange> gaps;
+    std::vector<LayerRange> ranges;
     for (int layer = 0; layer < static_cast<int>(copies.size()); ++layer) {
         if (copies[layer] > 0) {
             continue;
         }
-        if (gaps.empty() || gaps.back().to != layer) {
-            gaps.push_back({layer, layer});
+        if (ranges.empty() || ranges.back().to != layer) {
+            ranges.push_back({layer, layer});
         }
-        gaps.back().to = layer + 1;
+        ranges.back().to = layer + 1;
     }
-    return gaps;
+    return ranges;
 }
 
 void assignLayers(PlacedEngine &engine, LayerRange layers, const char *reason, std::vector<int> &copies, std::vector<PlacementOrder> &orders)
--- a/src/policy/fallback_leader.cpp
+++ b/src/policy/fallback_leader.cpp
@@ -19,10 +19,10 @@
     if (isStoreReachableByPeer || hasOtherLeader) {
         return false;
     }
-    const bool isFirst = std::none_of(view.peers.begin(), view.peers.end(), [&](const FallbackLeaderPeer &peer) {
+    const bool hasLowestId = std::none_of(view.peers.begin(), view.peers.end(), [&](const FallbackLeaderPeer &peer) {
         return !peer.isDraining && peer.id < view.self;
     });
-    return view.wasLastLeaseHolder || view.isOrdering || (isFirst && view.storeLostFor >= leaseExpiryBound);
+    return view.wasLastLeaseHolder || view.isOrdering || (hasLowestId && view.storeLostFor >= leaseExpiryBound);
 }
 
 } // namespace Parsleytrail
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -74,16 +74,16 @@
 void recordFailure(Target &target, TimePoint now)
 {
     const int doublings = std::min(target.failuresInRow, 8);
-    const milliseconds pause = std::min(initialFailureBackoff * (1 << doublings), maxFailureBackoff);
-    target.avoidUntil = now + pause;
+    const milliseconds backoff = std::min(initialFailureBackoff * (1 << doublings), maxFailureBackoff);
+    target.avoidUntil = now + backoff;
     ++target.failuresInRow;
 }
 
 void recordRefusal(Target &target, TimePoint now)
 {
     const int doublings = std::min(target.refusalsInRow, 8);
-    const milliseconds pause = std::min(initialRefusalBackoff * (1 << doublings), maxRefusalBackoff);
-    target.avoidUntil = std::max(target.avoidUntil, now + pause);
+    const milliseconds backoff = std::min(initialRefusalBackoff * (1 << doublings), maxRefusalBackoff);
+    target.avoidUntil = std::max(target.avoidUntil, now + backoff);
     ++target.refusalsInRow;
 }
 
--- a/src/policy/initial_placement.cpp
+++ b/src/policy/initial_placement.cpp
@@ -14,16 +14,16 @@
 {
     std::vector<int> counts(chain.size(), 0);
     for (int assigned = 0; assigned < model.layers; ++assigned) {
-        std::size_t roomiest = 0;
-        double roomiestMb = 0;
+        std::size_t largest = 0;
+        double largestMb = 0;
         for (std::size_t i = 0; i < chain.size(); ++i) {
             const double mbPerLayer = memoryOf(model, chain[i]) / (counts[i] + 1);
-            if (mbPerLayer > roomiestMb) {
-                roomiest = i;
-                roomiestMb = mbPerLayer;
+            if (mbPerLayer > largestMb) {
+                largest = i;
+                largestMb = mbPerLayer;
             }
         }
-        ++counts[roomiest];
+        ++counts[largest];
     }
     return counts;
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -252,12 +252,12 @@
         applyOrders(engines, planPlacement(model, engines));
         BOOST_REQUIRE(uncoveredLayers(model, engines, "a").empty());
         checkMemory(model, engines);
-        const auto narrowest = std::min_element(engines.begin(), engines.end(), [&](const PlacedEngine &a, const PlacedEngine &b) {
+        const auto bottleneck = std::min_element(engines.begin(), engines.end(), [&](const PlacedEngine &a, const PlacedEngine &b) {
             return cacheMbPerLayer(model, a) < cacheMbPerLayer(model, b);
         });
         for (const PlacedEngine &engine : engines) {
-            if (&engine != &*narrowest) {
-                BOOST_TEST(cacheMbPerLayer(model, engine, 1) <= cacheMbPerLayer(model, *narrowest), "seed " << seed << ": " << engine.id.value);
+            if (&engine != &*bottleneck) {
+                BOOST_TEST(cacheMbPerLayer(model, engine, 1) <= cacheMbPerLayer(model, *bottleneck), "seed " << seed << ": " << engine.id.value);
             }
         }
     }
