--- a/src/policy/cross_data_center_budget.h
+++ b/src/policy/cross_data_center_budget.h
@@ -17,7 +17,7 @@
 namespace Parsleytrail
 {
 
-/// Share of the link's capacity that chains may use. The rest absorbs bursts of tokens, as transfers queue behind each other.
+/// Share of the link's capacity that chains may use. The remainder absorbs bursts of tokens, as transfers queue behind each other.
 constexpr double linkUtilizationLimit = 0.6;
 /// Unused capacity that may accumulate, as a time of refill.
 constexpr std::chrono::duration<double> burstDuration{1.0};
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -280,7 +280,7 @@
 BOOST_AUTO_TEST_CASE(neighboursOfALeavingEngineAddItsLayersAndReleaseNone)
 {
     // An engine drains and still serves. When its layers were passed on from neighbour to neighbour, other engines released
-    // layers without another holder, which broke the working chain a second before the engine was gone.
+    // layers without another holder, which broke the working chain a second before the engine left.
     const EngineModel model = modelWithRequestProfile();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"large", 1}, {"middle", 8}, {"small", 4}});
     planUntilStable(model, engines);
