--- a/src/policy/load_table.h
+++ b/src/policy/load_table.h
@@ -22,7 +22,7 @@
 /// Key of a target in messages; it changes when the target restarts. If two targets have the same key, each counts the load of
 /// the other too: this skews the selection of engines, but breaks nothing. Among 3,000 targets it happens in one fleet of a
 /// thousand.
-std::uint32_t loadKey(const ListedTarget &target);
+std::uint32_t loadKey(const RegisteredTarget &target);
 
 /// Load at one target, summed over any number of entries.
 struct LoadSum {
--- a/src/policy/routes.cpp
+++ b/src/policy/routes.cpp
@@ -38,7 +38,7 @@
 {
     const std::string_view name = host.substr(0, host.find(':'));
     std::string key = indexKey(name, path);
-    // Prefixes end with a slash: only the path cut after each of its slashes can match, the longest first.
+    // Prefixes end with a slash: only the path up to and including one of its slashes can match; the longest is tried first.
     for (std::size_t end = path.rfind('/'); end != std::string_view::npos; end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
         key.resize(name.size() + end + 1);
         const auto it = table.routeIndex.find(key);
@@ -55,7 +55,7 @@
     for (const WeightedService &candidate : route.services) {
         total += std::max(candidate.weight, 0.0);
     }
-    double rest = draw * total;
+    double remaining = draw * total;
     const ServiceSpec *last = nullptr;
     for (const WeightedService &candidate : route.services) {
         const auto it = table.services.find(candidate.service);
@@ -63,8 +63,8 @@
             continue;
         }
         last = &it->second;
-        rest -= candidate.weight;
-        if (rest < 0) {
+        remaining -= candidate.weight;
+        if (remaining < 0) {
             return last;
         }
     }
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -1,7 +1,7 @@
 #include "relay/context.h"
 
 #include "base/log.h"
-#include "policy/crossing.h"
+#include "policy/cross_data_center_budget.h"
 
 #include <algorithm>
 
@@ -72,7 +72,7 @@
 
 TokenBucket &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service)
 {
-    const TokenBucket configured = makeCrossingBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
+    const TokenBucket configured = makeCrossDataCenterBudget(*service.engine, entriesToShareWith(context.entryCount, context.clock.now()));
     TokenBucket &budget = context.crossDataCenterBudgets[service.name];
     budget.perSecond = configured.perSecond;
     budget.burst = configured.burst;
@@ -87,20 +87,20 @@
     }
     const TimePoint now = context.clock.now();
     const bool isNew = isUsable(*target, now);
-    noteFailure(*target, now);
+    recordFailure(*target, now);
     // A request sent to a dead engine stalls its entire chain; a probe costs next to nothing. So an engine gets work again only
     // after it has answered a probe.
-    target->needsProbe = !target->listed.accelerator.empty();
+    target->needsProbe = !target->registered.accelerator.empty();
     if (target->needsProbe && target->failuresInRow == 1) {
         // A single connection reset may be a lost response of a working engine: it is usable again as soon as it answers a probe.
         // Otherwise each lost response would take the first engine of a data centre's only chain, and with it the chain, out of
         // use.
         target->avoidUntil = now;
     }
-    context.connections.drop(target->listed.address);
+    context.connections.drop(target->registered.address);
     if (isNew) {
         logEvent(Event::TargetAvoided, {{"target", id.value},
-                                        {"address", target->listed.address.toString()},
+                                        {"address", target->registered.address.toString()},
                                         {"reason", std::string(reason)},
                                         {"failures", std::to_string(target->failuresInRow)}});
     }
--- a/src/relay/engine_prober.cpp
+++ b/src/relay/engine_prober.cpp
@@ -60,7 +60,7 @@
 {
     const TimePoint now = context.clock.now();
     for (const auto &[id, target] : context.fleet.targets) {
-        const bool isSlow = target.slowness > slownessThreshold && now - target.reportedAt >= slowEngineProbeInterval;
+        const bool isSlow = target.slowdownFactor > slownessThreshold && now - target.reportedAt >= slowEngineProbeInterval;
         if (isSlow || (target.needsProbe && now >= target.avoidUntil)) {
             probe(id, probeTimeout);
         }
@@ -71,14 +71,14 @@
 {
     const Target *target = findTarget(context.fleet, id);
     // Targets of plain services have no report and would answer the probe with an error.
-    const bool isEngine = target && !target->listed.accelerator.empty();
+    const bool isEngine = target && !target->registered.accelerator.empty();
     if (!isEngine || !pendingProbes.insert(id).second) {
         return;
     }
     ++context.metrics.probes;
     HttpClientRequest request = context.adapter.reportRequest();
     request.timeout = timeout;
-    client.fetch(target->listed.address, std::move(request), [this, id](const HttpResult &result) {
+    client.fetch(target->registered.address, std::move(request), [this, id](const HttpResult &result) {
         pendingProbes.erase(id);
         handleResponse(id, result);
     });
@@ -110,22 +110,22 @@
 void EngineProber::Private::applyReport(Target &target, const EngineReport &report)
 {
     if (target.needsProbe) {
-        logEvent(Event::TargetUsable, {{"target", target.listed.id.value}, {"failures", std::to_string(target.failuresInRow)}});
+        logEvent(Event::TargetUsable, {{"target", target.registered.id.value}, {"failures", std::to_string(target.failuresInRow)}});
     }
-    noteAnswer(target);
-    target.isReported = true;
-    target.slowness = std::max(1.0, report.slowness);
+    recordProbeResponse(target);
+    target.hasReportedOrders = true;
+    target.slowdownFactor = std::max(1.0, report.slowness);
     target.reportedAt = context.clock.now();
-    const bool isNewer = report.ordersAccepted >= target.ordersAccepted || report.startedAtMs > target.listed.startedAtMs;
+    const bool isNewer = report.ordersAccepted >= target.ordersAccepted || report.startedAtMs > target.registered.startedAtMs;
     if (isNewer) {
-        target.listed.layers = report.layers;
+        target.registered.layers = report.layers;
         target.ordersAccepted = report.ordersAccepted;
-        target.isBusy = report.isBusy;
+        target.isExecutingOrder = report.isBusy;
     }
     for (const StalledRequest &stalled : report.stalled) {
         const Target *unresponsive = findTargetAt(context.fleet, stalled.address);
         if (unresponsive && isUsable(*unresponsive, context.clock.now())) {
-            markUnresponsive(unresponsive->listed.id, "requests wait for it");
+            markUnresponsive(unresponsive->registered.id, "requests wait for it");
         }
     }
     handlers.onReport();
@@ -135,7 +135,7 @@
 {
     avoidTarget(context, id, reason);
     if (Target *target = findTarget(context.fleet, id)) {
-        ++target->silencesInRow;
+        ++target->probeTimeoutsInRow;
     }
     handlers.onUnresponsive(id);
 }
--- a/src/relay/placement_controller.cpp
+++ b/src/relay/placement_controller.cpp
@@ -122,7 +122,7 @@
 {
     std::erase_if(pending, [&](const auto &entry) {
         const Target *target = findTarget(context.fleet, entry.first);
-        return !target || target->listed.layers == entry.second.layers || now - entry.second.sentAt > orderLifetime;
+        return !target || target->registered.layers == entry.second.layers || now - entry.second.sentAt > orderLifetime;
     });
     for (auto &[id, order] : pending) {
         if (now - order.probedAt >= orderProbeInterval) {
@@ -148,7 +148,7 @@
 void PlacementController::Private::probeBusyEngines()
 {
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.isBusy && !pending.contains(id)) {
+        if (target.isExecutingOrder && !pending.contains(id)) {
             prober.probe(id);
         }
     }
@@ -159,7 +159,7 @@
 /// requests are no evidence: responses of working engines get lost, and to give their layers to other engines breaks chains.
 static bool isLost(const Target &target)
 {
-    return target.silencesInRow >= unansweredProbesUntilLost || (target.silencesInRow > 0 && target.peersAvoiding > 0);
+    return target.probeTimeoutsInRow >= unansweredProbesUntilLost || (target.probeTimeoutsInRow > 0 && target.peersAvoiding > 0);
 }
 
 /// Whether so few engines are lost that the fault is theirs. To an entry that is cut off all engines seem lost; its orders would
@@ -169,7 +169,7 @@
     int engines = 0;
     int failed = 0;
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.listed.service == service.name) {
+        if (target.registered.service == service.name) {
             ++engines;
             failed += isLost(target) ? 1 : 0;
         }
@@ -183,22 +183,22 @@
     const bool trustsFailures = areMostEnginesReachable(service);
     std::vector<PlacedEngine> engines;
     for (const auto &[id, target] : context.fleet.targets) {
-        if (target.listed.service != service.name) {
+        if (target.registered.service != service.name) {
             continue;
         }
         PlacedEngine engine;
         engine.id = id;
-        engine.dataCenter = target.listed.dataCenter;
-        engine.kind = target.listed.accelerator;
-        engine.layers = target.listed.layers;
-        engine.isNew = !target.hasReturned && now - target.listedAt < newEngineReserveTime;
-        engine.isDead = trustsFailures && isLost(target);
-        engine.isLeaving = target.listed.isDraining || engine.isDead || target.refusalsInRow >= refusalsUntilLeaving;
-        engine.isFixed = target.isBusy; // by an order of another leader, or one whose response was lost
+        engine.dataCenter = target.registered.dataCenter;
+        engine.kind = target.registered.accelerator;
+        engine.layers = target.registered.layers;
+        engine.isNew = !target.isRestart && now - target.registeredAt < newEngineReserveTime;
+        engine.isUnreachable = trustsFailures && isLost(target);
+        engine.isLeaving = target.registered.isDraining || engine.isUnreachable || target.refusalsInRow >= refusalsUntilLeaving;
+        engine.hasPendingOrder = target.isExecutingOrder; // by an order of another leader, or one whose response was lost
         const auto order = pending.find(id);
         if (order != pending.end()) {
             engine.layers = order->second.layers;
-            engine.isFixed = true;
+            engine.hasPendingOrder = true;
         }
         engines.push_back(engine);
     }
@@ -243,7 +243,7 @@
             continue;
         }
         // An order with a wrong count is refused, and the engine's layers stay uncovered for another interval.
-        if (!target->isReported && hasPlacedLayers(engines)) {
+        if (!target->hasReportedOrders && hasPlacedLayers(engines)) {
             prober.probe(order.id);
         } else {
             send(order, now);
@@ -258,12 +258,12 @@
     ++context.metrics.orders;
     logEvent(Event::OrderSent, {{"target", order.id.value},
                                 {"layers", std::to_string(order.layers.from) + "-" + std::to_string(order.layers.to)},
-                                {"held", std::to_string(target.listed.layers.from) + "-" + std::to_string(target.listed.layers.to)},
+                                {"held", std::to_string(target.registered.layers.from) + "-" + std::to_string(target.registered.layers.to)},
                                 {"orders", std::to_string(target.ordersAccepted)},
                                 {"reason", order.reason}});
     HttpClientRequest request = context.adapter.placeRequest({order.layers, target.ordersAccepted, order.dropsStreams});
     request.timeout = orderTimeout;
-    client.fetch(target.listed.address, std::move(request), [this, id = order.id](const HttpResult &result) {
+    client.fetch(target.registered.address, std::move(request), [this, id = order.id](const HttpResult &result) {
         handleResponse(id, result);
     });
 }
--- a/src/relay/platform_adapter.h
+++ b/src/relay/platform_adapter.h
@@ -6,7 +6,7 @@
 
 #include "base/errors.h"
 #include "http/client.h"
-#include "policy/chain_choice.h"
+#include "policy/chain_selection.h"
 #include "policy/fleet.h"
 #include "policy/routes.h"
 #include "store/rows.h"
@@ -72,16 +72,16 @@
     /// Decodes a complete configuration. Fails with the step "decode configuration".
     virtual Result<RouteTable> decodeConfiguration(std::string_view bytes) const = 0;
     /// Decodes a target's row in the registry. Fails with the step "decode target" if the row describes no usable target.
-    virtual Result<ListedTarget> decodeTarget(const std::string &id, std::string_view bytes) const = 0;
+    virtual Result<RegisteredTarget> decodeTarget(const std::string &id, std::string_view bytes) const = 0;
 
     virtual HttpClientRequest reportRequest() const = 0;
     /// Fails with the step "decode report".
     virtual Result<EngineReport> decodeReport(std::string_view bytes) const = 0;
     virtual HttpClientRequest placeRequest(const PlaceOrder &order) const = 0;
     /// Command to the first engine of a chain: a running request continues through another chain with the same first stage.
-    virtual HttpClientRequest moveRequest(const std::string &attemptId, const std::vector<ChainPart> &chain) const = 0;
+    virtual HttpClientRequest moveRequest(const std::string &attemptId, const std::vector<ChainStage> &chain) const = 0;
     /// Encodes the value of the chain header field.
-    virtual std::string encodeChain(const std::vector<ChainPart> &chain) const = 0;
+    virtual std::string encodeChain(const std::vector<ChainStage> &chain) const = 0;
 
     /// Table and row key of the operator's configuration, and table of the targets.
     virtual std::string configurationTable() const = 0;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -6,7 +6,7 @@
 #include "base/text.h"
 #include "http/client.h"
 #include "http/server.h"
-#include "policy/duty.h"
+#include "policy/fallback_leader.h"
 #include "relay/caller_session.h"
 #include "relay/engine_prober.h"
 #include "relay/forwarded_request.h"
@@ -80,7 +80,7 @@
     void applyCallerLimits();
     void checkForwardings();
     void probeSuspects(const std::vector<ForwardingPtr> &open, TimePoint now);
-    void moveStream(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done);
+    void moveStream(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done);
     void moveStreamsFrom(const TargetId &unresponsive);
     bool isReady();
     void acceptIfComplete();
@@ -204,13 +204,13 @@
     }
     std::map<TargetId, TimePoint> lastProgressAt;
     for (const ForwardingPtr &forwarding : open) {
-        for (const ChainPart &part : forwarding->chain()) {
+        for (const ChainStage &part : forwarding->chain()) {
             TimePoint &at = lastProgressAt[part.id];
             at = std::max(at, forwarding->progressAt());
         }
     }
     for (const Forwarding *forwarding : stalled) {
-        for (const ChainPart &part : forwarding->chain()) {
+        for (const ChainStage &part : forwarding->chain()) {
             if (now - lastProgressAt[part.id] >= threshold) {
                 prober->probeSuspect(part.id);
             }
@@ -218,7 +218,7 @@
     }
 }
 
-void Relay::Private::moveStream(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done)
+void Relay::Private::moveStream(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done)
 {
     ++context.metrics.orders;
     HttpClientRequest request = context.adapter.moveRequest(attemptId, chain);
@@ -270,9 +270,9 @@
 // [SECTION] Leadership
 
 /// The other entries that decide who leads the placement: the first of them by id, and the first that sends orders.
-static std::vector<DutyPeer> leadershipCandidates(const EntriesView &others)
+static std::vector<FallbackLeaderPeer> leadershipCandidates(const EntriesView &others)
 {
-    std::vector<DutyPeer> peers;
+    std::vector<FallbackLeaderPeer> peers;
     const bool isStoreLost = !others.isStoreReached;
     if (!others.first.isEmpty()) {
         peers.push_back({others.first.value, isStoreLost, false, false});
@@ -289,11 +289,11 @@
     if (isDraining || lease->isHeld()) {
         return !isDraining;
     }
-    DutyView view;
+    FallbackLeaderView view;
     view.self = context.settings.id;
     view.isStoreLost = registry->isStoreLost();
     view.storeLostFor = std::chrono::duration_cast<milliseconds>(context.clock.now() - registry->storeLostAt());
-    view.heldLast = lease->wasHeldAtLastResponse();
+    view.wasLastLeaseHolder = lease->wasHeldAtLastResponse();
     view.isOrdering = isFallbackLeader;
     view.peers = leadershipCandidates(peers->others().entries);
     const bool isAllowed = mayOrderWithoutLease(view);
@@ -373,7 +373,7 @@
         data.schedulePlan();
     };
     data.prober = std::make_unique<EngineProber>(data.context, data.client, std::move(onProbe));
-    data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done) {
+    data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done) {
         data.moveStream(attemptId, chain, std::move(done));
     };
     data.hooks.askEngine = [&data](const TargetId &first) {
@@ -533,10 +533,10 @@
     state["followsAggregator"] = d->peers->others().isAggregatorWatching;
     state["callerConnections"] = d->sessions->count();
     for (const auto &[id, target] : context.fleet.targets) {
-        state["targets"][id.value] = {{"service", target.listed.service.value}, {"address", target.listed.address.toString()},
-                                      {"dataCenter", target.listed.dataCenter}, {"layers", {target.listed.layers.from, target.listed.layers.to}},
-                                      {"isDraining", target.listed.isDraining}, {"isUsable", isUsable(target, now)},
-                                      {"failuresInRow", target.failuresInRow},  {"openRequests", target.openRequests},
+        state["targets"][id.value] = {{"service", target.registered.service.value}, {"address", target.registered.address.toString()},
+                                      {"dataCenter", target.registered.dataCenter}, {"layers", {target.registered.layers.from, target.registered.layers.to}},
+                                      {"isDraining", target.registered.isDraining}, {"isUsable", isUsable(target, now)},
+                                      {"failuresInRow", target.failuresInRow},      {"openRequests", target.openRequests},
                                       {"kvTokenLayers", target.kvTokenLayers}};
     }
     return state.dump(2);
--- a/src/relay/relay_peers.h
+++ b/src/relay/relay_peers.h
@@ -19,7 +19,7 @@
 {
 public:
     struct Handlers {
-        std::function<void(EntryState &)> describe;       ///< fills in all of this entry's state except the loads
+        std::function<void(EntryState &)> describe;      ///< fills in all of this entry's state except the loads
         std::function<void(const PeersView &)> onOthers; ///< called when the state of the others may have changed
     };
 
