--- a/src/entry/admission_queue.cpp
+++ b/src/entry/admission_queue.cpp
@@ -88,7 +88,7 @@
     }
     // By the mean alone, half of those that start last would have their first token too late.
     const milliseconds expected =
-        lane.firstToken.meanSeconds > 0 ? overdueAfter(lane.firstToken, milliseconds(0), request.firstTokenDeadline) : milliseconds(0);
+        lane.firstToken.meanSeconds > 0 ? adaptiveTimeout(lane.firstToken, milliseconds(0), request.firstTokenDeadline) : milliseconds(0);
     request.waiting.arrivedAt = d->context.clock.now();
     request.waiting.startBy = request.waiting.arrivedAt + std::max<microseconds>(request.firstTokenDeadline - expected, milliseconds(1));
     lane.waiting.push_back(std::move(request.waiting));
@@ -118,7 +118,7 @@
 
 void AdmissionQueue::noteFirstToken(const ModelName &model, double seconds, double targetSeconds)
 {
-    noteTime(d->lanes[model].firstToken, seconds);
+    recordTime(d->lanes[model].firstToken, seconds);
     noteGap(model, seconds, targetSeconds);
 }
 
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -53,8 +53,8 @@
     const std::string key = bearerToken(request.headers);
     const Configuration &inForce = configuration();
     // Looked up by digest: how long the search takes tells nothing about the key.
-    const auto workspace = key.empty() ? inForce.workspaceOfKey.end() : inForce.workspaceOfKey.find(sha256Hex(key));
-    if (workspace == inForce.workspaceOfKey.end()) {
+    const auto workspace = key.empty() ? inForce.workspaceByKeyDigest.end() : inForce.workspaceByKeyDigest.find(sha256Hex(key));
+    if (workspace == inForce.workspaceByKeyDigest.end()) {
         return false;
     }
     caller.workspace.value = workspace->second;
--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -220,7 +220,7 @@
     stream.service.value = request.service;
     stream.workspace = caller.workspace;
     stream.allowedInputs = service.allowInputs;
-    if (guard.judge(stream.fingerprint, service.allowInputs) == InputStanding::Convicted) {
+    if (guard.judge(stream.fingerprint, service.allowInputs) == InputStatus::Quarantined) {
         ++refused;
         work.countRefused(owner);
         return replyCompletionError(exchange, convictedError(Outcome::NotRun), caller.shownId);
--- a/src/entry/configuration_keeper.cpp
+++ b/src/entry/configuration_keeper.cpp
@@ -147,7 +147,7 @@
 
 void ConfigurationKeeper::Private::force(Configuration fresh)
 {
-    noteChange(log, configuration, fresh);
+    recordChange(log, configuration, fresh);
     configuration = std::move(fresh);
     logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"digest", configuration.digest}});
     if (context.history.isOn()) {
@@ -206,7 +206,7 @@
         update.baseVersion = loading->partial.version;
         update.version.value = loading->next + 1;
         Configuration next;
-        if (takeUpdate(loading->partial, update, next) != UpdateVerdict::Taken) {
+        if (applyUpdate(loading->partial, update, next) != UpdateResult::Applied) {
             logEvent(Event::ConfigurationDamaged, {{"version", std::to_string(loading->row.version.value)}, {"from", "store"}});
             return endPoll();
         }
@@ -242,7 +242,7 @@
     application->wanted.version.value = configuration.version.value + 1;
     const bool isSnapshot = row.objects.empty() || row.objects.size() > maxChangesSinceSnapshot;
     ConfigurationLog step;
-    noteChange(step, configuration, application->wanted);
+    recordChange(step, configuration, application->wanted);
     const ConfigurationVersion base = isSnapshot ? ConfigurationVersion{} : configuration.version;
     application->object = encodeObject(makeUpdate(application->wanted, step, base, SectionScope::All));
     application->next.version = application->wanted.version;
@@ -431,17 +431,17 @@
 void ConfigurationKeeper::take(const LinkPtr &link, const ConfigurationUpdate &update)
 {
     Configuration fresh;
-    switch (takeUpdate(d->configuration, update, fresh)) {
-    case UpdateVerdict::Taken:
+    switch (applyUpdate(d->configuration, update, fresh)) {
+    case UpdateResult::Applied:
         d->force(std::move(fresh));
         break;
-    case UpdateVerdict::NotNewer:
+    case UpdateResult::NotNewer:
         logEvent(Event::ConfigurationOlder, {{"version", std::to_string(update.version.value)}, {"from", link->peer().process}});
         break;
-    case UpdateVerdict::Lacking:
+    case UpdateResult::BaseMismatch:
         link->send(ConfigurationWanted{d->configuration.version});
         break;
-    case UpdateVerdict::Damaged:
+    case UpdateResult::Damaged:
         logEvent(Event::ConfigurationDamaged, {{"version", std::to_string(update.version.value)}, {"from", link->peer().process}});
         break;
     }
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -313,7 +313,7 @@
         }
     }
     for (const TargetView *view : targets->views()) {
-        if (!view->isSilent) {
+        if (!view->isTimedOut) {
             keeper->sendTo(links->link({view->last.host, view->last.port}), view->last.configuration, SectionScope::WithoutWorkspaces);
         }
     }
@@ -335,7 +335,7 @@
     const TimePoint now = clock.now();
     // A process that was stopped or starved finds everybody silent before it has read what they sent. Taken for silence, it
     // would give up every stream that it has open, and refuse new ones.
-    const milliseconds stall = stallBefore(tickedAt, now, tickInterval);
+    const milliseconds stall = processPauseBefore(tickedAt, now, tickInterval);
     tickedAt = now;
     targets->tick(stall);
     peers->tick(stall);
@@ -351,7 +351,7 @@
 {
     std::vector<Address> addresses;
     for (const TargetView *view : targets->views()) {
-        if (!view->isSilent) {
+        if (!view->isTimedOut) {
             addresses.push_back({view->last.host, view->last.port});
         }
     }
--- a/src/entry/input_guard.cpp
+++ b/src/entry/input_guard.cpp
@@ -32,11 +32,11 @@
 
 void InputGuard::Private::add(std::uint64_t fingerprint, const Suspicion &suspicion)
 {
-    const bool wasConvicted = judgeInput(quarantine, fingerprint) == InputStanding::Convicted;
-    if (!noteCrash(quarantine, fingerprint, suspicion, context.clock.now())) {
+    const bool wasConvicted = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
+    if (!recordCrash(quarantine, fingerprint, suspicion, context.clock.now())) {
         return;
     }
-    const bool isConvicted = judgeInput(quarantine, fingerprint) == InputStanding::Convicted;
+    const bool isConvicted = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
     if (isConvicted && !wasConvicted) {
         ++convicted;
     }
@@ -59,11 +59,11 @@
     d->notice = std::move(handler);
 }
 
-InputStanding InputGuard::judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const
+InputStatus InputGuard::judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const
 {
-    const InputStanding standing = judgeInput(d->quarantine, fingerprint);
-    const bool isAllowed = standing == InputStanding::Convicted && std::find(allowed.begin(), allowed.end(), fingerprintText(fingerprint)) != allowed.end();
-    return isAllowed ? InputStanding::Suspect : standing;
+    const InputStatus standing = classifyInput(d->quarantine, fingerprint);
+    const bool isAllowed = standing == InputStatus::Quarantined && std::find(allowed.begin(), allowed.end(), fingerprintText(fingerprint)) != allowed.end();
+    return isAllowed ? InputStatus::Suspect : standing;
 }
 
 void InputGuard::noteDeath(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace, const RequestId &request)
@@ -73,7 +73,7 @@
 
 void InputGuard::notePass(std::uint64_t fingerprint)
 {
-    if (notePassed(d->quarantine, fingerprint)) {
+    if (clearSuspicion(d->quarantine, fingerprint)) {
         d->notice({fingerprint, {}, {}, {}, {}});
     }
 }
@@ -104,7 +104,7 @@
 {
     nlohmann::json list = nlohmann::json::array();
     for (const auto &[fingerprint, suspicion] : d->quarantine.suspicions) {
-        const bool isConvicted = judgeInput(d->quarantine, fingerprint) == InputStanding::Convicted;
+        const bool isConvicted = classifyInput(d->quarantine, fingerprint) == InputStatus::Quarantined;
         list.push_back({{"fingerprint", fingerprintText(fingerprint)},
                         {"standing", isConvicted ? "refused" : "suspect"},
                         {"crashes", suspicion.crashes.size()},
--- a/src/entry/input_guard.h
+++ b/src/entry/input_guard.h
@@ -22,7 +22,7 @@
     void onNotice(std::function<void(const SuspicionNotice &)> handler);
 
     /// What is known of an input, unless the service's section allows it.
-    InputStanding judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const;
+    InputStatus judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const;
     /// An engine died with the input in flight. `crash` is the same for all that were in flight there.
     void noteDeath(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace, const RequestId &request);
     /// The input has run past the point at which it was suspected.
--- a/src/entry/operator_api.cpp
+++ b/src/entry/operator_api.cpp
@@ -161,7 +161,7 @@
     return true;
 }
 
-static json toJson(const WorkLine &line)
+static json toJson(const UsageLine &line)
 {
     json seconds = json::object();
     for (const auto &[kind, micros] : line.counters.acceleratorMicros) {
@@ -183,14 +183,14 @@
     const HttpRequest &request = exchange->request();
     std::int64_t from = 0;
     std::int64_t to = 0;
-    WorkGrouping grouping = WorkGrouping::Workspace;
+    UsageGrouping grouping = UsageGrouping::Workspace;
     const std::string by = queryParameter(request.query, "by").value_or("workspace");
     const bool isRead = readHour(request, "from", work.currentHour() - 23, from) && readHour(request, "to", work.currentHour() + 1, to) && from < to;
     if (!isRead || !parseGrouping(by, grouping)) {
         return replyProblem(exchange,
                             {400, "", "expected from and to as 2026-12-03 or 2026-12-03T14 (UTC, to after from), and by as workspace, service or model"});
     }
-    work.read(from, to, [exchange, grouping, by, from, to, &keeper](StoreStatus status, const WorkLedger &ledger) {
+    work.read(from, to, [exchange, grouping, by, from, to, &keeper](StoreStatus status, const UsageLedger &ledger) {
         if (status != StoreStatus::Ok) {
             return replyProblem(exchange, {503, "", "the platform's store is away", Outcome::NotRun, 2});
         }
@@ -199,7 +199,7 @@
             prices[targetClass.accelerator] = targetClass.pricePerHour;
         }
         json lines = json::array();
-        for (const WorkLine &line : summarize(ledger, grouping, prices)) {
+        for (const UsageLine &line : summarize(ledger, grouping, prices)) {
             lines.push_back(toJson(line));
         }
         exchange->reply(200, jsonHeaders, json{{"by", by}, {"fromHour", from}, {"toHour", to}, {"lines", lines}}.dump());
@@ -221,14 +221,14 @@
     json item = {{"id", last.target.value},
                  {"kind", last.kind == TargetKind::Engine ? "engine" : "application"},
                  {"dataCenter", last.dataCenter},
-                 {"state", view.isSilent ? "Silent" : toString(last.state)},
+                 {"state", view.isTimedOut ? "Silent" : toString(last.state)},
                  {"isLeaving", view.isLeaving},
                  {"configuration", last.configuration.value},
                  {"streams", last.streams},
                  {"queued", last.queued},
                  {"stepMicros", last.stepMicros},
-                 {"openHere", view.openHere},
-                 {"failuresInRow", view.failuresInRow}};
+                 {"openHere", view.localOpenCount},
+                 {"failuresInRow", view.consecutiveFailures}};
     if (last.kind == TargetKind::Application) {
         item["service"] = last.service.value;
         return item;
@@ -252,7 +252,7 @@
         }
         const std::string range = std::to_string(last.layerBegin) + "-" + std::to_string(last.layerEnd);
         json &holders = coverage[last.model.value + "@" + last.version][range];
-        holders = (holders.is_null() ? 0 : holders.get<int>()) + (takesNewWork(*view, now) ? 1 : 0);
+        holders = (holders.is_null() ? 0 : holders.get<int>()) + (acceptsNewWork(*view, now) ? 1 : 0);
     }
     return coverage;
 }
@@ -279,7 +279,7 @@
     const std::vector<const TargetView *> views = targets.views();
     for (const TargetView *view : views) {
         list.push_back(describeTarget(*view));
-        if (!view->isSilent && view->last.configuration < inForce.version) {
+        if (!view->isTimedOut && view->last.configuration < inForce.version) {
             stragglers.push_back(view->last.target.value);
         }
     }
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -157,7 +157,7 @@
 {
     const TimePoint now = d->context.clock.now();
     for (auto &[id, view] : d->views) {
-        view.heardAt = creditStall(view.heardAt, stall, now);
+        view.heardAt = creditProcessPause(view.heardAt, stall, now);
         view.isSilent = now - view.heardAt >= d->context.settings.silenceTimeout;
     }
     if (now < d->nextPoll) {
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -121,7 +121,7 @@
     std::vector<const TargetView *> usable;
     for (const TargetView *target : targets.views()) {
         const bool serves = target->last.kind == TargetKind::Application && target->last.service == call.service;
-        if (serves && takesNewWork(*target, now) && !call.excluded.count(target->last.target)) {
+        if (serves && acceptsNewWork(*target, now) && !call.excluded.count(target->last.target)) {
             usable.push_back(target);
         }
     }
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -147,7 +147,7 @@
 bool Streams::Private::chooseStages(OpenStream &stream)
 {
     const std::vector<const TargetView *> views = targets.views();
-    const std::vector<std::size_t> chosen = chooseChain(views, stream.request.need, chainOptions(stream), context.clock.now(), context.random);
+    const std::vector<std::size_t> chosen = selectChain(views, stream.request.need, chainOptions(stream), context.clock.now(), context.random);
     stream.chain.clear();
     for (const std::size_t index : chosen) {
         stream.chain.push_back(toStage(*views[index]));
@@ -172,7 +172,7 @@
     open.tokens = stream.emitted;
     open.maxTokens = stream.request.maxTokens;
     open.priority = stream.request.priority;
-    open.isSuspect = guard.judge(stream.request.fingerprint, stream.request.allowedInputs) != InputStanding::Clear;
+    open.isSuspect = guard.judge(stream.request.fingerprint, stream.request.allowedInputs) != InputStatus::Clear;
     stream.isAttemptSuspect = open.isSuspect;
     for (std::uint32_t i = 0; i < stream.chain.size(); ++i) {
         const StageAddress &stage = stream.chain[i];
@@ -208,7 +208,7 @@
     if (stream.attempt.value >= maxAttempts) {
         return fail(stream, error);
     }
-    if (stream.isSuspect && guard.judge(stream.request.fingerprint, stream.request.allowedInputs) == InputStanding::Convicted) {
+    if (stream.isSuspect && guard.judge(stream.request.fingerprint, stream.request.allowedInputs) == InputStatus::Quarantined) {
         return refuseConvicted(stream, error);
     }
     const bool hasChain = !stream.chain.empty() || chooseStages(stream);
@@ -246,7 +246,7 @@
                                     {"reason", error.text}});
     const std::vector<const TargetView *> views = targets.views();
     const std::size_t index =
-        chooseReplacement(views, stream.request.need, lost.layerBegin, lost.layerEnd, chainOptions(stream), context.clock.now(), context.random);
+        selectReplacement(views, stream.request.need, lost.layerBegin, lost.layerEnd, chainOptions(stream), context.clock.now(), context.random);
     if (index < views.size()) {
         stream.chain[stageIndex] = toStage(*views[index]);
     } else {
@@ -334,7 +334,7 @@
         recovery.record(secondsBetween(stream->failedAt, now));
         stream->failedAt = {};
     } else {
-        noteTime(stream->emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens, gap);
+        recordTime(stream->emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens, gap);
     }
     (stream->emitted.empty() ? firstToken : betweenTokens).record(gap);
     if (stream->isSuspect) {
@@ -377,7 +377,7 @@
     if (!suspectTimer.isRunning()) {
         suspectTimer.start(suspectPause + milliseconds(1));
     }
-    if (guard.judge(request.fingerprint, request.allowedInputs) != InputStanding::Convicted) {
+    if (guard.judge(request.fingerprint, request.allowedInputs) != InputStatus::Quarantined) {
         return true;
     }
     if (frame.stageIndex < stream.chain.size()) {
@@ -435,7 +435,7 @@
     const ModelTimes &modelTimes = times[stream.request.need.model];
     const TimeEstimate &estimate = stream.emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens;
     const milliseconds shortest = context.settings.progressTimeout;
-    return overdueAfter(estimate, shortest, std::max(shortest, longestProgressTimeout));
+    return adaptiveTimeout(estimate, shortest, std::max(shortest, longestProgressTimeout));
 }
 
 void Streams::Private::checkProgress(OpenStream &stream, TimePoint now)
@@ -481,10 +481,10 @@
 void Streams::Private::judge(OpenStream &stream)
 {
     stream.hasQuery = false;
-    const StallVerdict verdict = judgeStall(stream.reports, stream.idleQueries);
+    const StallDecision verdict = decideStallAction(stream.reports, stream.idleQueries);
     if (verdict.action == StallAction::Replace) {
-        const std::string peer = stream.chain[verdict.blame.stage].target.value;
-        return replaceStage(stream, verdict.blame.stage, {"wait for token", peer, std::string("no progress: ") + toString(verdict.blame.fault)}, true);
+        const std::string peer = stream.chain[verdict.diagnosis.stage].target.value;
+        return replaceStage(stream, verdict.diagnosis.stage, {"wait for token", peer, std::string("no progress: ") + toString(verdict.diagnosis.fault)}, true);
     }
     stream.progressAt = context.clock.now();
     if (verdict.action == StallAction::Renew) {
--- a/src/entry/streams.h
+++ b/src/entry/streams.h
@@ -17,7 +17,7 @@
 /// A request to a pipeline.
 struct StreamRequest {
     RequestId id;                           ///< unique in the system
-    ModelNeed need;                         ///< model, version, adapter
+    ModelRequirements need;                 ///< model, version, adapter
     std::string prompt;                     ///< text
     std::uint32_t maxTokens = 1;            ///< tokens to generate at most
     std::uint32_t priority = 0;             ///< 0 is lowest
--- a/src/entry/targets.cpp
+++ b/src/entry/targets.cpp
@@ -67,9 +67,9 @@
     const bool isRestart = target.view.last.incarnation != Incarnation{};
     targetOfKey.erase(targetKeyOf(announcement.target, target.view.last.incarnation));
     targetOfKey[targetKeyOf(announcement.target, announcement.incarnation)] = announcement.target;
-    const std::uint32_t openHere = target.view.openHere;
+    const std::uint32_t openHere = target.view.localOpenCount;
     target.view = TargetView{};
-    target.view.openHere = openHere;
+    target.view.localOpenCount = openHere;
     target.view.joinedAt = context.clock.now();
     logEvent(Event::TargetJoined, {{"target", announcement.target.value},
                                    {"address", addressOf(announcement).toString()},
@@ -106,7 +106,7 @@
         d->join(target, announcement);
     }
     const TargetState before = target.view.last.state;
-    const bool wasUsable = takesNewWork(target.view, d->context.clock.now());
+    const bool wasUsable = acceptsNewWork(target.view, d->context.clock.now());
     target.view.last = announcement;
     d->heard(target);
     if (announcement.state == TargetState::Draining && before != TargetState::Draining) {
@@ -117,7 +117,7 @@
     }
     d->context.links.link(addressOf(announcement));
     d->pushIfOld(target, inForce);
-    if (!wasUsable && takesNewWork(target.view, d->context.clock.now())) {
+    if (!wasUsable && acceptsNewWork(target.view, d->context.clock.now())) {
         d->usable();
     }
 }
@@ -125,12 +125,12 @@
 void Targets::Private::heard(KnownTarget &target)
 {
     const TimePoint now = context.clock.now();
-    if (target.view.heardAt != TimePoint{}) {
-        noteTime(target.gapTimes, std::chrono::duration<double>(now - target.view.heardAt).count());
+    if (target.view.lastReceivedAt != TimePoint{}) {
+        recordTime(target.gapTimes, std::chrono::duration<double>(now - target.view.lastReceivedAt).count());
     }
-    target.view.heardAt = now;
-    if (target.view.isSilent) {
-        target.view.isSilent = false;
+    target.view.lastReceivedAt = now;
+    if (target.view.isTimedOut) {
+        target.view.isTimedOut = false;
         logEvent(Event::TargetBack, {{"target", target.view.last.target.value}});
     }
 }
@@ -152,7 +152,7 @@
     last.queued = report.queued;
     last.stepMicros = report.stepMicros;
     last.kvUsed = report.kvUsed;
-    const bool wasSilent = target.view.isSilent;
+    const bool wasSilent = target.view.isTimedOut;
     d->heard(target);
     d->context.links.link(addressOf(last));
     if (wasSilent) {
@@ -173,7 +173,7 @@
     for (auto &[id, target] : d->targets) {
         if (addressOf(target.view.last).toString() == address) {
             // Without this, new requests would go to a dead sidecar until silence-timeout had passed.
-            target.view.isSilent = true;
+            target.view.isTimedOut = true;
         }
     }
 }
@@ -182,16 +182,16 @@
 {
     const TimePoint now = d->context.clock.now();
     for (auto &[id, target] : d->targets) {
-        target.view.heardAt = creditStall(target.view.heardAt, stall, now);
-        if (!target.view.isSilent && now - target.view.heardAt >= d->context.settings.silenceTimeout) {
-            target.view.isSilent = true;
+        target.view.lastReceivedAt = creditProcessPause(target.view.lastReceivedAt, stall, now);
+        if (!target.view.isTimedOut && now - target.view.lastReceivedAt >= d->context.settings.silenceTimeout) {
+            target.view.isTimedOut = true;
             logEvent(Event::TargetSilent, {{"target", id.value}});
             d->gone(id);
         }
     }
     std::erase_if(d->targets, [this, now](const auto &item) {
         const TargetView &view = item.second.view;
-        const bool isForgotten = now - view.heardAt >= forgetAfter && view.openHere == 0;
+        const bool isForgotten = now - view.lastReceivedAt >= forgetAfter && view.localOpenCount == 0;
         if (isForgotten) {
             d->targetOfKey.erase(targetKeyOf(item.first, view.last.incarnation));
         }
@@ -222,8 +222,8 @@
         return true;
     }
     const EntrySettings &settings = d->context.settings;
-    const milliseconds usual = overdueAfter(it->second.gapTimes, std::min(settings.progressTimeout, settings.silenceTimeout), settings.silenceTimeout);
-    return d->context.clock.now() - it->second.view.heardAt >= usual;
+    const milliseconds usual = adaptiveTimeout(it->second.gapTimes, std::min(settings.progressTimeout, settings.silenceTimeout), settings.silenceTimeout);
+    return d->context.clock.now() - it->second.view.lastReceivedAt >= usual;
 }
 
 LinkPtr Targets::link(const TargetId &target)
@@ -235,22 +235,22 @@
 void Targets::noteOpened(const TargetId &target)
 {
     if (const auto it = d->targets.find(target); it != d->targets.end()) {
-        ++it->second.view.openHere;
+        ++it->second.view.localOpenCount;
     }
 }
 
 void Targets::noteClosed(const TargetId &target)
 {
     const auto it = d->targets.find(target);
-    if (it != d->targets.end() && it->second.view.openHere > 0) {
-        --it->second.view.openHere;
+    if (it != d->targets.end() && it->second.view.localOpenCount > 0) {
+        --it->second.view.localOpenCount;
     }
 }
 
 void Targets::noteSuccess(const TargetId &target)
 {
     if (const auto it = d->targets.find(target); it != d->targets.end()) {
-        noteTargetSuccess(it->second.view);
+        recordTargetSuccess(it->second.view);
     }
 }
 
@@ -265,11 +265,11 @@
     std::size_t alive = 0;
     for (const auto &[id, other] : d->targets) {
         ejected += now < other.view.ejectedUntil ? 1 : 0;
-        alive += other.view.isSilent ? 0 : 1;
+        alive += other.view.isTimedOut ? 0 : 1;
     }
     const bool isAlreadyEjected = now < it->second.view.ejectedUntil;
     if (!isAlreadyEjected) {
-        noteTargetFailure(it->second.view, now, ejected, alive);
+        recordTargetFailure(it->second.view, now, ejected, alive);
     }
 }
 
--- a/src/entry/work_keeper.cpp
+++ b/src/entry/work_keeper.cpp
@@ -30,7 +30,7 @@
     std::string value;         ///< as last written with success
 };
 
-json encodeCounters(const WorkKey &key, const WorkCounters &counters)
+json encodeCounters(const UsageKey &key, const UsageCounters &counters)
 {
     return {{"workspace", key.workspace.value},
             {"service", key.service.value},
@@ -44,14 +44,14 @@
             {"acceleratorMicros", counters.acceleratorMicros}};
 }
 
-void decodeCounters(const json &item, std::int64_t hour, WorkLedger &ledger)
+void decodeCounters(const json &item, std::int64_t hour, UsageLedger &ledger)
 {
-    WorkKey key;
+    UsageKey key;
     key.hour = hour;
     key.workspace.value = item.value("workspace", "");
     key.service.value = item.value("service", "");
     key.model.value = item.value("model", "");
-    WorkCounters counters;
+    UsageCounters counters;
     counters.answered = item.value("answered", std::uint64_t{0});
     counters.refused = item.value("refused", std::uint64_t{0});
     counters.unknown = item.value("unknown", std::uint64_t{0});
@@ -72,7 +72,7 @@
 struct WorkKeeper::Private {
     EntryContext &context;
     Store &store;
-    WorkLedger ledger;
+    UsageLedger ledger;
     std::unordered_map<RequestId, OpenUsage> usages;
     std::map<std::string, WrittenRow> written; ///< by row key
     bool isDirty = false;
@@ -80,7 +80,7 @@
     TimePoint nextFlush{};
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    WorkCounters &countersOf(const WorkOwner &owner);
+    UsageCounters &countersOf(const WorkOwner &owner);
     std::int64_t hour() const;
     std::map<std::string, std::string> rows() const;
     void settle(const std::vector<RowWrite> &writes, StoreStatus status);
@@ -95,7 +95,7 @@
     return std::chrono::duration_cast<std::chrono::hours>(context.clock.wallTime().time_since_epoch()).count();
 }
 
-WorkCounters &WorkKeeper::Private::countersOf(const WorkOwner &owner)
+UsageCounters &WorkKeeper::Private::countersOf(const WorkOwner &owner)
 {
     isDirty = true;
     return ledger[{hour(), owner.workspace, owner.service, owner.model}];
@@ -110,7 +110,7 @@
 
 void WorkKeeper::countAnswered(const WorkOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens)
 {
-    WorkCounters &counters = d->countersOf(owner);
+    UsageCounters &counters = d->countersOf(owner);
     ++counters.answered;
     counters.worth += owner.worth;
     counters.promptTokens += promptTokens;
@@ -124,7 +124,7 @@
 
 void WorkKeeper::countUnknown(const WorkOwner &owner, std::uint64_t completionTokens)
 {
-    WorkCounters &counters = d->countersOf(owner);
+    UsageCounters &counters = d->countersOf(owner);
     ++counters.unknown;
     counters.completionTokens += completionTokens;
 }
@@ -253,7 +253,7 @@
 
 // [SECTION] Reading
 
-void WorkKeeper::read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const WorkLedger &)> done)
+void WorkKeeper::read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const UsageLedger &)> done)
 {
     // This entry's own work first, so that its report holds everything that it has counted.
     flush([this, fromHour, toHour, done = std::move(done), weak = std::weak_ptr(d->alive)](StoreStatus) {
@@ -261,7 +261,7 @@
             return;
         }
         d->store.scanRows(workTable, hourText(fromHour), hourText(toHour), maxReportRows, [done](StoreStatus status, const std::vector<Row> &rows) {
-            WorkLedger ledger;
+            UsageLedger ledger;
             for (const Row &row : rows) {
                 const json items = json::parse(row.value, nullptr, false);
                 const std::int64_t hour = std::strtoll(row.key.c_str(), nullptr, 10);
--- a/src/entry/work_keeper.h
+++ b/src/entry/work_keeper.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "entry/context.h"
-#include "policy/served_work.h"
+#include "policy/usage.h"
 #include "store/store.h"
 
 #include <functional>
@@ -44,7 +44,7 @@
     bool isDirty() const;
 
     /// The ledger of all entries for hours in [from, to).
-    void read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const WorkLedger &)> done);
+    void read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const UsageLedger &)> done);
     std::int64_t currentHour() const;
 
 private:
--- a/src/policy/chain.cpp
+++ b/src/policy/chain.cpp
@@ -9,20 +9,21 @@
 
 using Range = std::pair<std::uint32_t, std::uint32_t>;
 
-bool isUsable(const TargetView &target, const ModelNeed &need, TimePoint now, const std::set<TargetId> *excluded)
+bool isUsable(const TargetView &target, const ModelRequirements &requirements, TimePoint now, const std::set<TargetId> *excluded)
 {
     const Announcement &last = target.last;
-    const bool holdsModel = last.kind == TargetKind::Engine && last.model == need.model && last.version == need.version;
-    if (!holdsModel || !takesNewWork(target, now)) {
+    const bool holdsModel = last.kind == TargetKind::Engine && last.model == requirements.model && last.version == requirements.version;
+    if (!holdsModel || !acceptsNewWork(target, now)) {
         return false;
     }
-    const bool holdsAdapter = need.adapter.empty() || std::find(last.adapters.begin(), last.adapters.end(), need.adapter) != last.adapters.end();
+    const bool holdsAdapter =
+        requirements.adapter.empty() || std::find(last.adapters.begin(), last.adapters.end(), requirements.adapter) != last.adapters.end();
     const bool isExcluded = excluded && excluded->count(last.target) > 0;
     return holdsAdapter && !isExcluded;
 }
 
 /// The better of two random members.
-static std::size_t chooseOfTwo(const std::vector<const TargetView *> &targets, const std::vector<std::size_t> &members, TimePoint now, std::mt19937_64 &random)
+static std::size_t selectOfTwo(const std::vector<const TargetView *> &targets, const std::vector<std::size_t> &members, TimePoint now, std::mt19937_64 &random)
 {
     std::uniform_int_distribution<std::size_t> any(0, members.size() - 1);
     const std::size_t a = members[any(random)];
@@ -31,17 +32,17 @@
 }
 
 /// Cheapest way that ends with one target.
-struct Way {
+struct Path {
     double cost = std::numeric_limits<double>::infinity(); ///< microseconds
     std::size_t previous = 0;                              ///< candidate before it; itself for a first stage
 };
 
-std::vector<std::size_t> chooseChain(const std::vector<const TargetView *> &targets, const ModelNeed &need, const ChainOptions &options, TimePoint now,
-                                     std::mt19937_64 &random)
+std::vector<std::size_t> selectChain(const std::vector<const TargetView *> &targets, const ModelRequirements &requirements, const ChainOptions &options,
+                                     TimePoint now, std::mt19937_64 &random)
 {
     std::map<Range, std::map<std::string, std::vector<std::size_t>>> holders; // by range, then data centre
     for (std::size_t i = 0; i < targets.size(); ++i) {
-        if (isUsable(*targets[i], need, now, options.excluded)) {
+        if (isUsable(*targets[i], requirements, now, options.excluded)) {
             const Announcement &last = targets[i]->last;
             holders[{last.layerBegin, last.layerEnd}][last.dataCenter].push_back(i);
         }
@@ -50,41 +51,41 @@
     std::vector<std::size_t> candidates;
     for (const auto &[range, byDataCenter] : holders) {
         for (const auto &[dataCenter, members] : byDataCenter) {
-            candidates.push_back(chooseOfTwo(targets, members, now, random));
+            candidates.push_back(selectOfTwo(targets, members, now, random));
         }
     }
-    const auto crossing = [&](const std::string &from, const std::string &to) {
-        return from == to ? 0.0 : options.crossingMicros;
+    const auto hopCost = [&](const std::string &from, const std::string &to) {
+        return from == to ? 0.0 : options.crossDataCenterMicros;
     };
-    std::vector<Way> ways(candidates.size());
+    std::vector<Path> paths(candidates.size());
     std::size_t best = candidates.size();
     double bestCost = std::numeric_limits<double>::infinity();
     for (std::size_t c = 0; c < candidates.size(); ++c) {
         const Announcement &here = targets[candidates[c]]->last;
-        const double own = expectedMicros(*targets[candidates[c]], now);
+        const double stageCost = expectedMicros(*targets[candidates[c]], now);
         if (here.layerBegin == 0) {
-            ways[c] = {own + crossing(options.dataCenter, here.dataCenter), c};
+            paths[c] = {stageCost + hopCost(options.dataCenter, here.dataCenter), c};
         }
         for (std::size_t p = 0; p < c; ++p) {
             const Announcement &before = targets[candidates[p]]->last;
-            const double cost = ways[p].cost + own + crossing(before.dataCenter, here.dataCenter);
-            if (before.layerEnd == here.layerBegin && cost < ways[c].cost) {
-                ways[c] = {cost, p};
+            const double cost = paths[p].cost + stageCost + hopCost(before.dataCenter, here.dataCenter);
+            if (before.layerEnd == here.layerBegin && cost < paths[c].cost) {
+                paths[c] = {cost, p};
             }
         }
-        const double whole = ways[c].cost + crossing(here.dataCenter, options.dataCenter);
-        if (here.layerEnd == need.layers && whole < bestCost) {
+        const double total = paths[c].cost + hopCost(here.dataCenter, options.dataCenter);
+        if (here.layerEnd == requirements.layers && total < bestCost) {
             best = c;
-            bestCost = whole;
+            bestCost = total;
         }
     }
     std::vector<std::size_t> chain;
     if (best == candidates.size()) {
         return chain;
     }
-    for (std::size_t c = best;; c = ways[c].previous) {
+    for (std::size_t c = best;; c = paths[c].previous) {
         chain.push_back(candidates[c]);
-        if (ways[c].previous == c) {
+        if (paths[c].previous == c) {
             break;
         }
     }
@@ -92,19 +93,19 @@
     return chain;
 }
 
-std::size_t chooseReplacement(const std::vector<const TargetView *> &targets, const ModelNeed &need, std::uint32_t begin, std::uint32_t end,
+std::size_t selectReplacement(const std::vector<const TargetView *> &targets, const ModelRequirements &requirements, std::uint32_t begin, std::uint32_t end,
                               const ChainOptions &options, TimePoint now, std::mt19937_64 &random)
 {
-    std::vector<std::size_t> near;
-    std::vector<std::size_t> far;
+    std::vector<std::size_t> localHolders;
+    std::vector<std::size_t> remoteHolders;
     for (std::size_t i = 0; i < targets.size(); ++i) {
         const Announcement &last = targets[i]->last;
-        if (last.layerBegin == begin && last.layerEnd == end && isUsable(*targets[i], need, now, options.excluded)) {
-            (last.dataCenter == options.dataCenter ? near : far).push_back(i);
+        if (last.layerBegin == begin && last.layerEnd == end && isUsable(*targets[i], requirements, now, options.excluded)) {
+            (last.dataCenter == options.dataCenter ? localHolders : remoteHolders).push_back(i);
         }
     }
-    const std::vector<std::size_t> &members = near.empty() ? far : near;
-    return members.empty() ? targets.size() : chooseOfTwo(targets, members, now, random);
+    const std::vector<std::size_t> &members = localHolders.empty() ? remoteHolders : localHolders;
+    return members.empty() ? targets.size() : selectOfTwo(targets, members, now, random);
 }
 
 } // namespace Parsleytrail
--- a/src/policy/circuit.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -1,16 +1,16 @@
-#include "policy/circuit.h"
+#include "policy/circuit_breaker.h"
 
 #include <algorithm>
 
 namespace Parsleytrail
 {
 
-bool isOpen(const Circuit &circuit)
+bool isOpen(const CircuitBreaker &circuit)
 {
     return circuit.pause.count() > 0;
 }
 
-bool tryPass(Circuit &circuit, TimePoint now)
+bool tryAcquireCall(CircuitBreaker &circuit, TimePoint now)
 {
     if (!isOpen(circuit)) {
         return true;
@@ -22,7 +22,7 @@
     return true;
 }
 
-bool noteSuccess(Circuit &circuit)
+bool recordSuccess(CircuitBreaker &circuit)
 {
     const bool wasOpen = isOpen(circuit);
     circuit.failures = 0;
@@ -31,7 +31,7 @@
     return wasOpen;
 }
 
-bool noteFailure(Circuit &circuit, TimePoint now)
+bool recordFailure(CircuitBreaker &circuit, TimePoint now)
 {
     const bool wasOpen = isOpen(circuit);
     ++circuit.failures;
--- a/src/policy/circuit.h
+++ b/src/policy/circuit_breaker.h
@@ -11,7 +11,7 @@
 {
 
 /// Settings and state of a circuit.
-struct Circuit {
+struct CircuitBreaker {
     std::uint32_t failuresToOpen = 3; ///< consecutive failures that open it
     milliseconds firstPause{500};     ///< pause before the first probe
     milliseconds longestPause{10000}; ///< pauses double up to this
@@ -23,12 +23,12 @@
 };
 
 /// Whether a call may go out now. While the circuit is open only one probe goes out after each pause.
-bool tryPass(Circuit &circuit, TimePoint now);
+bool tryAcquireCall(CircuitBreaker &circuit, TimePoint now);
 /// A call succeeded. Returns true if this closed the circuit.
-bool noteSuccess(Circuit &circuit);
+bool recordSuccess(CircuitBreaker &circuit);
 /// A call failed. Returns true if this opened the circuit.
-bool noteFailure(Circuit &circuit, TimePoint now);
+bool recordFailure(CircuitBreaker &circuit, TimePoint now);
 /// Whether calls are being refused.
-bool isOpen(const Circuit &circuit);
+bool isOpen(const CircuitBreaker &circuit);
 
 } // namespace Parsleytrail
--- a/src/policy/configuration.cpp
+++ b/src/policy/configuration.cpp
@@ -74,7 +74,7 @@
 // [SECTION] Checking
 
 /// Lines of keys, so that problems found across sections can name them.
-struct LineOf {
+struct LineLookup {
     const IniFile &file;
 
     int operator()(const std::string &section, const std::string &key) const
@@ -94,7 +94,7 @@
     return std::find(list.begin(), list.end(), item) != list.end();
 }
 
-static void checkService(const std::string &name, const ServiceSection &service, const Configuration &configuration, const LineOf &line,
+static void checkService(const std::string &name, const ServiceSection &service, const Configuration &configuration, const LineLookup &line,
                          std::vector<IniProblem> &problems)
 {
     const std::string section = "service." + name;
@@ -139,7 +139,7 @@
            });
 }
 
-static void checkWorkspace(const std::string &name, const WorkspaceSection &workspace, Configuration &configuration, const LineOf &line,
+static void checkWorkspace(const std::string &name, const WorkspaceSection &workspace, Configuration &configuration, const LineLookup &line,
                            std::vector<IniProblem> &problems)
 {
     const std::string section = "workspace." + name;
@@ -154,7 +154,7 @@
             problems.push_back({section, "key-digests", line(section, "key-digests"), "expected SHA-256 digests, 64 hexadecimal digits in lower case"});
             continue;
         }
-        const auto [other, isNew] = configuration.workspaceOfKey.emplace(digest, name);
+        const auto [other, isNew] = configuration.workspaceByKeyDigest.emplace(digest, name);
         if (!isNew) {
             problems.push_back(
                 {section, "key-digests", line(section, "key-digests"), absl::StrCat("expected a key of its own; workspace ", other->second, " has the same")});
@@ -171,7 +171,7 @@
         const std::string canonical = canonicalText(section);
         configuration.sections[section.name] = {canonical, sha256Hex(canonical)};
     }
-    const LineOf line{file};
+    const LineLookup line{file};
     for (const auto &[name, service] : configuration.services) {
         checkService(name, service, configuration, line, problems);
     }
@@ -220,7 +220,7 @@
 
 // [SECTION] Updates
 
-void noteChange(ConfigurationLog &log, const Configuration &from, const Configuration &to)
+void recordChange(ConfigurationLog &log, const Configuration &from, const Configuration &to)
 {
     const bool isNextStep = log.changes.empty() || log.changes.back().version == from.version;
     if (!isNextStep) {
@@ -228,7 +228,7 @@
     }
     ConfigurationLog::Change change{to.version, {}};
     for (SectionDifference &difference : compareConfigurations(from, to)) {
-        change.touched.push_back(std::move(difference.name));
+        change.changedSections.push_back(std::move(difference.name));
     }
     // A step over several versions (taken whole from a peer) still tells what differs from `from`.
     if (log.changes.empty()) {
@@ -241,7 +241,7 @@
 }
 
 /// Names touched since a version, or nothing if the log does not hold that version.
-static std::optional<std::set<std::string>> touchedSince(const ConfigurationLog &log, ConfigurationVersion known)
+static std::optional<std::set<std::string>> sectionsChangedSince(const ConfigurationLog &log, ConfigurationVersion known)
 {
     const auto base = std::find_if(log.changes.begin(), log.changes.end(), [known](const ConfigurationLog::Change &change) {
         return change.version == known;
@@ -251,7 +251,7 @@
     }
     std::set<std::string> names;
     for (auto change = std::next(base); change != log.changes.end(); ++change) {
-        names.insert(change->touched.begin(), change->touched.end());
+        names.insert(change->changedSections.begin(), change->changedSections.end());
     }
     return names;
 }
@@ -262,8 +262,8 @@
     update.version = configuration.version;
     update.digest = scope == SectionScope::All ? configuration.digest : digestOf(configuration, scope);
     const bool isFresh = known == ConfigurationVersion{};
-    const std::optional<std::set<std::string>> touched = isFresh ? std::nullopt : touchedSince(log, known);
-    if (!touched) {
+    const std::optional<std::set<std::string>> changedSections = isFresh ? std::nullopt : sectionsChangedSince(log, known);
+    if (!changedSections) {
         for (const auto &[name, section] : configuration.sections) {
             if (isInScope(name, scope)) {
                 update.sections.push_back({name, section.text});
@@ -272,7 +272,7 @@
         return update;
     }
     update.baseVersion = known;
-    for (const std::string &name : *touched) {
+    for (const std::string &name : *changedSections) {
         const auto section = configuration.sections.find(name);
         if (!isInScope(name, scope)) {
             continue;
@@ -299,9 +299,9 @@
         configuration.targetClasses.erase(name);
     } else if (const auto workspace = configuration.workspaces.find(name); workspace != configuration.workspaces.end()) {
         for (const std::string &digest : workspace->second.keyDigests) {
-            const auto key = configuration.workspaceOfKey.find(digest);
-            if (key != configuration.workspaceOfKey.end() && key->second == name) {
-                configuration.workspaceOfKey.erase(key);
+            const auto key = configuration.workspaceByKeyDigest.find(digest);
+            if (key != configuration.workspaceByKeyDigest.end() && key->second == name) {
+                configuration.workspaceByKeyDigest.erase(key);
             }
         }
         configuration.workspaces.erase(workspace);
@@ -322,24 +322,24 @@
         const std::string name(nameView);
         if (kind == "workspace") {
             for (const std::string &digest : configuration.workspaces[name].keyDigests) {
-                configuration.workspaceOfKey[digest] = name;
+                configuration.workspaceByKeyDigest[digest] = name;
             }
         }
     }
 }
 
-UpdateVerdict takeUpdate(const Configuration &current, const ConfigurationUpdate &update, Configuration &result)
+UpdateResult applyUpdate(const Configuration &current, const ConfigurationUpdate &update, Configuration &result)
 {
     if (update.version <= current.version) {
-        return UpdateVerdict::NotNewer;
+        return UpdateResult::NotNewer;
     }
-    const bool isWhole = update.baseVersion == ConfigurationVersion{};
-    if (!isWhole && update.baseVersion != current.version) {
-        return UpdateVerdict::Lacking;
+    const bool isFull = update.baseVersion == ConfigurationVersion{};
+    if (!isFull && update.baseVersion != current.version) {
+        return UpdateResult::BaseMismatch;
     }
     // Only what changed is parsed: with thousands of workspaces the whole file takes tens of milliseconds, during which
     // this process would send no token.
-    result = isWhole ? Configuration() : current;
+    result = isFull ? Configuration() : current;
     for (const std::string &name : update.removed) {
         removeSection(result, name);
     }
@@ -349,10 +349,10 @@
     }
     result.digest = digestOf(result, SectionScope::All);
     if (result.digest != update.digest) {
-        return UpdateVerdict::Damaged;
+        return UpdateResult::Damaged;
     }
     result.version = update.version;
-    return UpdateVerdict::Taken;
+    return UpdateResult::Applied;
 }
 
 // [SECTION] Marks
--- a/src/policy/configuration.h
+++ b/src/policy/configuration.h
@@ -30,7 +30,7 @@
     std::map<std::string, ServiceSection> services;          ///< by name
     std::map<std::string, WorkspaceSection> workspaces;      ///< by name
     std::map<std::string, TargetClassSection> targetClasses; ///< by name
-    std::map<std::string, std::string> workspaceOfKey;       ///< workspace by digest of a caller's key
+    std::map<std::string, std::string> workspaceByKeyDigest; ///< workspace by digest of a caller's key
 };
 
 /// Parses and checks a whole file. Every problem is added to `problems`; the result is valid only if none was.
@@ -57,27 +57,27 @@
 struct ConfigurationLog {
     /// One change.
     struct Change {
-        ConfigurationVersion version;     ///< version it led to
-        std::vector<std::string> touched; ///< sections added, changed or removed
+        ConfigurationVersion version;             ///< version it led to
+        std::vector<std::string> changedSections; ///< sections added, changed or removed
     };
     std::vector<Change> changes; ///< oldest first, without holes
 };
 constexpr std::size_t maxLoggedChanges = 128;
 
 /// Notes the step from one configuration to the next.
-void noteChange(ConfigurationLog &log, const Configuration &from, const Configuration &to);
+void recordChange(ConfigurationLog &log, const Configuration &from, const Configuration &to);
 /// The update that brings a receiver with `known` in force up to `configuration`; whole if the log does not reach back.
 ConfigurationUpdate makeUpdate(const Configuration &configuration, const ConfigurationLog &log, ConfigurationVersion known, SectionScope scope);
 
 /// What became of an update.
-enum class UpdateVerdict {
-    Taken,    ///< the result is the new configuration
-    NotNewer, ///< what is in force is as new or newer
-    Lacking,  ///< it builds on another version than the one in force: ask for a whole one
-    Damaged   ///< the result does not have the digest that the sender gave
+enum class UpdateResult {
+    Applied,      ///< the result is the new configuration
+    NotNewer,     ///< what is in force is as new or newer
+    BaseMismatch, ///< it builds on another version than the one in force: ask for a whole one
+    Damaged       ///< the result does not have the digest that the sender gave
 };
 /// Applies an update to what is in force. `result` is valid only for Taken.
-UpdateVerdict takeUpdate(const Configuration &current, const ConfigurationUpdate &update, Configuration &result);
+UpdateResult applyUpdate(const Configuration &current, const ConfigurationUpdate &update, Configuration &result);
 
 /// Whether the file marks the call as non-idempotent.
 bool isNonIdempotent(const ServiceSection &service, std::string_view method, std::string_view path);
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -329,16 +329,16 @@
 /// What others sent while this process stood still waits to be read: taken for gone, their load would not be counted.
 static void creditStalls(LoadExchange &exchange, TimePoint now)
 {
-    const milliseconds stall = stallBefore(exchange.tickedAt, now, exchangeInterval);
+    const milliseconds stall = processPauseBefore(exchange.tickedAt, now, exchangeInterval);
     exchange.tickedAt = now;
     for (auto &[id, member] : exchange.members) {
-        member.at = creditStall(member.at, stall, now);
+        member.at = creditProcessPause(member.at, stall, now);
     }
     for (auto &[id, group] : exchange.groups) {
-        group.at = creditStall(group.at, stall, now);
+        group.at = creditProcessPause(group.at, stall, now);
     }
-    exchange.answeredAt = creditStall(exchange.answeredAt, stall, now);
-    exchange.digest.at = exchange.digest.at == TimePoint() ? TimePoint() : creditStall(exchange.digest.at, stall, now);
+    exchange.answeredAt = creditProcessPause(exchange.answeredAt, stall, now);
+    exchange.digest.at = exchange.digest.at == TimePoint() ? TimePoint() : creditProcessPause(exchange.digest.at, stall, now);
 }
 
 template<typename Message>
--- a/src/policy/progress.cpp
+++ b/src/policy/progress.cpp
@@ -9,7 +9,7 @@
 constexpr double meanGain = 1.0 / 8;
 constexpr double deviationGain = 1.0 / 4;
 
-void noteTime(TimeEstimate &estimate, double seconds)
+void recordTime(TimeEstimate &estimate, double seconds)
 {
     if (estimate.meanSeconds == 0) {
         estimate = {seconds, seconds / 2};
@@ -20,7 +20,7 @@
     estimate.meanSeconds += meanGain * error;
 }
 
-milliseconds overdueAfter(const TimeEstimate &estimate, milliseconds shortest, milliseconds longest)
+milliseconds adaptiveTimeout(const TimeEstimate &estimate, milliseconds shortest, milliseconds longest)
 {
     if (estimate.meanSeconds == 0) {
         return longest;
@@ -30,7 +30,7 @@
     return std::clamp(time, shortest, longest);
 }
 
-milliseconds stallBefore(TimePoint lastTick, TimePoint now, milliseconds interval)
+milliseconds processPauseBefore(TimePoint lastTick, TimePoint now, milliseconds interval)
 {
     if (lastTick == TimePoint{}) {
         return milliseconds(0);
@@ -38,9 +38,9 @@
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(now - lastTick) - 2 * interval);
 }
 
-TimePoint creditStall(TimePoint heardAt, milliseconds stall, TimePoint now)
+TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds stall, TimePoint now)
 {
-    return std::min(heardAt + stall, now);
+    return std::min(lastReceivedAt + stall, now);
 }
 
 const char *toString(StageFault fault)
@@ -58,62 +58,62 @@
     return "unknown";
 }
 
-static bool holdsInputs(const StageProgress &stage)
+static bool hasPendingInputs(const StageProgress &stage)
 {
     return stage.applied < stage.received;
 }
 
-std::optional<StageBlame> blameStage(const std::vector<std::optional<StageProgress>> &stages)
+std::optional<StageDiagnosis> findFaultyStage(const std::vector<std::optional<StageProgress>> &stages)
 {
     for (std::uint32_t i = 0; i < stages.size(); ++i) {
         if (!stages[i] || !stages[i]->isKnown) {
-            return StageBlame{i, stages[i] ? StageFault::StreamUnknown : StageFault::NoAnswer};
+            return StageDiagnosis{i, stages[i] ? StageFault::StreamUnknown : StageFault::NoAnswer};
         }
     }
     for (std::uint32_t i = 0; i < stages.size(); ++i) {
         // Under load a stream may wait for many others: an engine taken for stuck then hands its streams to the next one,
         // which gets slower for it, until none is left. An engine that hangs ends no steps.
-        if (holdsInputs(*stages[i]) && !stages[i]->isEngineMoving) {
-            return StageBlame{i, StageFault::InputsNotApplied};
+        if (hasPendingInputs(*stages[i]) && !stages[i]->isEngineMoving) {
+            return StageDiagnosis{i, StageFault::InputsNotApplied};
         }
     }
     for (std::uint32_t i = 1; i < stages.size(); ++i) {
         if (stages[i]->received < stages[i - 1]->sent) {
-            return StageBlame{i, StageFault::InputsNotReceived};
+            return StageDiagnosis{i, StageFault::InputsNotReceived};
         }
     }
     return std::nullopt;
 }
 
 /// Whether inputs of the stream wait for their turn at an engine that ends steps: then no frame is missing.
-static bool waitsForTurn(const std::vector<std::optional<StageProgress>> &stages)
+static bool isQueuedAtEngine(const std::vector<std::optional<StageProgress>> &stages)
 {
     return std::any_of(stages.begin(), stages.end(), [](const std::optional<StageProgress> &stage) {
-        return stage && holdsInputs(*stage) && stage->isEngineMoving;
+        return stage && hasPendingInputs(*stage) && stage->isEngineMoving;
     });
 }
 
-StallVerdict judgeStall(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &idleQueries)
+StallDecision decideStallAction(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &inconclusiveQueries)
 {
-    const std::optional<StageBlame> blame = blameStage(stages);
+    const std::optional<StageDiagnosis> diagnosis = findFaultyStage(stages);
     // Stages answer at different times: a frame on its way between two of them looks lost. Asked again, and after a renewal
     // on the same chain, only one that is lost still does.
-    const bool isFrameMissing = blame && blame->fault == StageFault::InputsNotReceived;
-    const bool mayBeOnItsWay = isFrameMissing && idleQueries < idleQueriesToRenew;
-    if (blame && !mayBeOnItsWay) {
-        idleQueries = 0;
-        return {StallAction::Replace, *blame};
+    const bool isFrameMissing = diagnosis && diagnosis->fault == StageFault::InputsNotReceived;
+    const bool mayBeOnItsWay = isFrameMissing && inconclusiveQueries < inconclusiveQueriesToRenew;
+    if (diagnosis && !mayBeOnItsWay) {
+        inconclusiveQueries = 0;
+        return {StallAction::Replace, *diagnosis};
     }
-    if (!blame && waitsForTurn(stages)) {
+    if (!diagnosis && isQueuedAtEngine(stages)) {
         return {StallAction::Wait, {}};
     }
-    ++idleQueries;
-    if (idleQueries < idleQueriesToRenew) {
+    ++inconclusiveQueries;
+    if (inconclusiveQueries < inconclusiveQueriesToRenew) {
         return {StallAction::Wait, {}};
     }
     // All stages wait for each other, or one for a frame that was lost with its link.
     if (!isFrameMissing) {
-        idleQueries = 0;
+        inconclusiveQueries = 0;
     }
     return {StallAction::Renew, {}};
 }
--- a/src/policy/progress.h
+++ b/src/policy/progress.h
@@ -15,15 +15,15 @@
     double meanSeconds = 0;      ///< 0: nothing seen
     double deviationSeconds = 0; ///< mean deviation
 };
-void noteTime(TimeEstimate &estimate, double seconds);
+void recordTime(TimeEstimate &estimate, double seconds);
 /// Time after which something is overdue: mean + 4 deviations, within [shortest, longest]; `longest` while nothing was seen.
-milliseconds overdueAfter(const TimeEstimate &estimate, milliseconds shortest, milliseconds longest);
+milliseconds adaptiveTimeout(const TimeEstimate &estimate, milliseconds shortest, milliseconds longest);
 
 /// Time for which this process stood still before a tick, beyond what ticks every `interval` may be late; zero before the
 /// first tick. What others sent meanwhile waits to be read, so that it is no sign of their silence.
-milliseconds stallBefore(TimePoint lastTick, TimePoint now, milliseconds interval);
+milliseconds processPauseBefore(TimePoint lastTick, TimePoint now, milliseconds interval);
 /// When something was last heard, with such a time not counted; never later than now.
-TimePoint creditStall(TimePoint heardAt, milliseconds stall, TimePoint now);
+TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds stall, TimePoint now);
 
 /// Progress of one stage; nothing if it did not answer.
 struct StageProgress {
@@ -39,7 +39,7 @@
 const char *toString(StageFault fault);
 
 /// The stage to replace, and why.
-struct StageBlame {
+struct StageDiagnosis {
     std::uint32_t stage = 0;                 ///< its place in the chain
     StageFault fault = StageFault::NoAnswer; ///< what speaks against it
 };
@@ -48,7 +48,7 @@
 ///
 /// The first stage that did not answer or lost the stream is at fault; otherwise the first whose engine holds inputs
 /// that it has not applied and ends no steps; otherwise the first that has not received what the stage before it has sent.
-std::optional<StageBlame> blameStage(const std::vector<std::optional<StageProgress>> &stages);
+std::optional<StageDiagnosis> findFaultyStage(const std::vector<std::optional<StageProgress>> &stages);
 
 /// What to do about a stream that stands still.
 enum class StallAction {
@@ -56,15 +56,15 @@
     Renew,   ///< a new attempt on the same chain, so that each stage asks for what it lacks
     Replace, ///< the blamed stage
 };
-struct StallVerdict {
+struct StallDecision {
     StallAction action = StallAction::Wait; ///< what to do
-    StageBlame blame;                       ///< for Replace
+    StageDiagnosis diagnosis;               ///< for Replace
 };
 
 /// Judges a stream that stands still by its stages' answers. `idleQueries` counts questions in a row about it that found
 /// nobody at fault and no engine at work; it is set back with each replacement here, and by the caller with each token.
-StallVerdict judgeStall(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &idleQueries);
+StallDecision decideStallAction(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &inconclusiveQueries);
 
-constexpr std::uint32_t idleQueriesToRenew = 2; ///< one may have been asked at a bad moment
+constexpr std::uint32_t inconclusiveQueriesToRenew = 2; ///< one may have been asked at a bad moment
 
 } // namespace Parsleytrail
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -5,25 +5,25 @@
 namespace Parsleytrail
 {
 
-static bool isConvicted(const Suspicion &suspicion)
+static bool isQuarantined(const Suspicion &suspicion)
 {
-    return suspicion.crashes.size() >= crashesToConvict;
+    return suspicion.crashes.size() >= crashesToQuarantine;
 }
 
-InputStanding judgeInput(const Quarantine &quarantine, std::uint64_t fingerprint)
+InputStatus classifyInput(const Quarantine &quarantine, std::uint64_t fingerprint)
 {
     const auto it = quarantine.suspicions.find(fingerprint);
     if (it == quarantine.suspicions.end()) {
-        return InputStanding::Clear;
+        return InputStatus::Clear;
     }
-    return isConvicted(it->second) ? InputStanding::Convicted : InputStanding::Suspect;
+    return isQuarantined(it->second) ? InputStatus::Quarantined : InputStatus::Suspect;
 }
 
 static void dropOldest(Quarantine &quarantine)
 {
     auto oldest = quarantine.suspicions.end();
     for (auto it = quarantine.suspicions.begin(); it != quarantine.suspicions.end(); ++it) {
-        if (!isConvicted(it->second) && (oldest == quarantine.suspicions.end() || it->second.notedAt < oldest->second.notedAt)) {
+        if (!isQuarantined(it->second) && (oldest == quarantine.suspicions.end() || it->second.updatedAt < oldest->second.updatedAt)) {
             oldest = it;
         }
     }
@@ -32,7 +32,7 @@
     }
 }
 
-bool noteCrash(Quarantine &quarantine, std::uint64_t fingerprint, const Suspicion &suspicion, TimePoint now)
+bool recordCrash(Quarantine &quarantine, std::uint64_t fingerprint, const Suspicion &suspicion, TimePoint now)
 {
     const bool isNew = !quarantine.suspicions.count(fingerprint);
     if (isNew && quarantine.suspicions.size() >= maxSuspicions) {
@@ -47,14 +47,14 @@
     known.service = suspicion.service;
     known.workspace = suspicion.workspace;
     known.request = suspicion.request;
-    known.notedAt = now;
+    known.updatedAt = now;
     return true;
 }
 
-bool notePassed(Quarantine &quarantine, std::uint64_t fingerprint)
+bool clearSuspicion(Quarantine &quarantine, std::uint64_t fingerprint)
 {
     const auto it = quarantine.suspicions.find(fingerprint);
-    if (it == quarantine.suspicions.end() || isConvicted(it->second)) {
+    if (it == quarantine.suspicions.end() || isQuarantined(it->second)) {
         return false;
     }
     quarantine.suspicions.erase(it);
@@ -64,8 +64,8 @@
 void prune(Quarantine &quarantine, TimePoint now)
 {
     std::erase_if(quarantine.suspicions, [now](const auto &item) {
-        const auto life = isConvicted(item.second) ? convictionLife : suspicionLife;
-        return now - item.second.notedAt >= life;
+        const auto life = isQuarantined(item.second) ? quarantineLifetime : suspicionLifetime;
+        return now - item.second.updatedAt >= life;
     });
 }
 
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -22,7 +22,7 @@
     ServiceName service;             ///< it was sent to
     WorkspaceName workspace;         ///< that sent it
     RequestId request;               ///< one of the requests
-    TimePoint notedAt{};             ///< last change
+    TimePoint updatedAt{};           ///< last change
 };
 
 /// Suspicions of one entry, by fingerprint.
@@ -30,19 +30,19 @@
     std::map<std::uint64_t, Suspicion> suspicions;
 };
 
-enum class InputStanding { Clear, Suspect, Convicted };
+enum class InputStatus { Clear, Suspect, Quarantined };
 
-constexpr std::size_t crashesToConvict = 2;
-constexpr std::size_t maxSuspicions = 4096;          ///< the oldest unconvicted is dropped beyond it
-constexpr std::chrono::hours suspicionLife{1};       ///< an input suspected once and not seen again
-constexpr std::chrono::hours convictionLife{24 * 7}; ///< a convicted input that nobody lifts
+constexpr std::size_t crashesToQuarantine = 2;
+constexpr std::size_t maxSuspicions = 4096;              ///< the oldest unconvicted is dropped beyond it
+constexpr std::chrono::hours suspicionLifetime{1};       ///< an input suspected once and not seen again
+constexpr std::chrono::hours quarantineLifetime{24 * 7}; ///< a convicted input that nobody lifts
 
 /// What is known of an input.
-InputStanding judgeInput(const Quarantine &quarantine, std::uint64_t fingerprint);
+InputStatus classifyInput(const Quarantine &quarantine, std::uint64_t fingerprint);
 /// Adds what this entry saw or another one told. Returns true if it was news.
-bool noteCrash(Quarantine &quarantine, std::uint64_t fingerprint, const Suspicion &suspicion, TimePoint now);
+bool recordCrash(Quarantine &quarantine, std::uint64_t fingerprint, const Suspicion &suspicion, TimePoint now);
 /// The input has run past the point at which it was suspected. A convicted one stays so. Returns true if it was news.
-bool notePassed(Quarantine &quarantine, std::uint64_t fingerprint);
+bool clearSuspicion(Quarantine &quarantine, std::uint64_t fingerprint);
 /// Drops what is too old.
 void prune(Quarantine &quarantine, TimePoint now);
 
--- a/src/policy/stage_stream.cpp
+++ b/src/policy/stage_stream.cpp
@@ -8,49 +8,49 @@
     return stream.applied + stream.inStep + static_cast<std::uint32_t>(stream.waiting.size());
 }
 
-static InputVerdict judgeAttempt(const StageStream &stream, Attempt attempt)
+static InputDecision classifyAttempt(const StageStream &stream, Attempt attempt)
 {
     if (attempt < stream.attempt) {
-        return InputVerdict::OldAttempt;
+        return InputDecision::OldAttempt;
     }
-    return attempt > stream.attempt ? InputVerdict::NewerAttempt : InputVerdict::Take;
+    return attempt > stream.attempt ? InputDecision::NewerAttempt : InputDecision::Accept;
 }
 
-InputVerdict takeActivations(StageStream &stream, const ActivationFrame &frame)
+InputDecision handleActivations(StageStream &stream, const ActivationFrame &frame)
 {
-    if (const InputVerdict verdict = judgeAttempt(stream, frame.attempt); verdict != InputVerdict::Take) {
-        return verdict;
+    if (const InputDecision decision = classifyAttempt(stream, frame.attempt); decision != InputDecision::Accept) {
+        return decision;
     }
     if (frame.layersDone != stream.layerBegin || frame.stageIndex != stream.stageIndex || stream.isFirst) {
-        return InputVerdict::WrongLayer;
+        return InputDecision::WrongLayer;
     }
     const std::uint32_t next = received(stream);
     const auto end = frame.position + static_cast<std::uint32_t>(frame.activations.size());
     if (frame.position > next) {
-        return InputVerdict::Gap;
+        return InputDecision::Gap;
     }
     if (end <= next) {
-        return InputVerdict::Duplicate;
+        return InputDecision::Duplicate;
     }
     stream.promptLength = frame.promptLength;
     stream.waiting.insert(stream.waiting.end(), frame.activations.begin() + (next - frame.position), frame.activations.end());
-    return InputVerdict::Take;
+    return InputDecision::Accept;
 }
 
-InputVerdict takeToken(StageStream &stream, Attempt attempt, std::uint32_t index, std::uint32_t token)
+InputDecision handleToken(StageStream &stream, Attempt attempt, std::uint32_t index, std::uint32_t token)
 {
-    if (const InputVerdict verdict = judgeAttempt(stream, attempt); verdict != InputVerdict::Take) {
-        return verdict;
+    if (const InputDecision decision = classifyAttempt(stream, attempt); decision != InputDecision::Accept) {
+        return decision;
     }
     if (!stream.isFirst) {
-        return InputVerdict::WrongLayer;
+        return InputDecision::WrongLayer;
     }
-    if (index != stream.tokensTaken) {
-        return index < stream.tokensTaken ? InputVerdict::Duplicate : InputVerdict::Gap;
+    if (index != stream.tokensAccepted) {
+        return index < stream.tokensAccepted ? InputDecision::Duplicate : InputDecision::Gap;
     }
-    ++stream.tokensTaken;
+    ++stream.tokensAccepted;
     stream.waiting.push_back(token);
-    return InputVerdict::Take;
+    return InputDecision::Accept;
 }
 
 bool openAttempt(StageStream &stream, const OpenStage &open)
@@ -60,11 +60,11 @@
     }
     const bool isFresh = stream.attempt == Attempt{};
     const StageAddress &self = open.stages[open.stageIndex];
-    const bool isSamePlace = stream.layerBegin == self.layerBegin && stream.layerEnd == self.layerEnd;
-    if (!isFresh && !isSamePlace) {
+    const bool isSameLayerRange = stream.layerBegin == self.layerBegin && stream.layerEnd == self.layerEnd;
+    if (!isFresh && !isSameLayerRange) {
         stream = {};
     }
-    const bool holdsNothing = stream.attempt == Attempt{};
+    const bool isEmpty = stream.attempt == Attempt{};
     stream.request = open.request;
     stream.attempt = open.attempt;
     stream.stageIndex = open.stageIndex;
@@ -73,13 +73,13 @@
     stream.layerBegin = self.layerBegin;
     stream.layerEnd = self.layerEnd;
     stream.maxTokens = open.maxTokens;
-    if (holdsNothing && stream.isFirst) {
+    if (isEmpty && stream.isFirst) {
         stream.isPromptWaiting = true;
     }
     if (stream.isFirst) {
-        for (std::size_t i = stream.tokensTaken; i < open.tokens.size(); ++i) {
+        for (std::size_t i = stream.tokensAccepted; i < open.tokens.size(); ++i) {
             stream.waiting.push_back(open.tokens[i]);
-            ++stream.tokensTaken;
+            ++stream.tokensAccepted;
         }
     }
     // At a first attempt every stage starts from nothing; later the next stage says what it has.
@@ -117,7 +117,7 @@
     }
 }
 
-bool noteToken(StageStream &stream, KeptToken token, const std::vector<std::uint32_t> &emitted)
+bool recordToken(StageStream &stream, KeptToken token, const std::vector<std::uint32_t> &emitted)
 {
     const std::size_t index = stream.tokens.size();
     if (index < emitted.size() && emitted[index] != token.token) {
@@ -141,7 +141,7 @@
     return true;
 }
 
-std::vector<std::uint64_t> takeResults(StageStream &stream)
+std::vector<std::uint64_t> consumeResults(StageStream &stream)
 {
     const std::uint32_t end = stream.keptFrom + static_cast<std::uint32_t>(stream.kept.size());
     if (!stream.maySend || stream.isLast || stream.sent >= end || stream.sent < stream.keptFrom) {
@@ -152,7 +152,7 @@
     return results;
 }
 
-std::size_t dropKept(StageStream &stream)
+std::size_t dropKeptResults(StageStream &stream)
 {
     const std::uint32_t end = stream.keptFrom + static_cast<std::uint32_t>(stream.kept.size());
     const std::uint32_t dropTo = std::min(stream.sent, end);
--- a/src/policy/stage_stream.h
+++ b/src/policy/stage_stream.h
@@ -38,7 +38,7 @@
     std::uint32_t applied = 0;          ///< positions whose result is known
     std::uint32_t inStep = 0;           ///< positions at the engine
     std::vector<std::uint64_t> waiting; ///< activations, or tokens at the first stage, after those at the engine
-    std::uint32_t tokensTaken = 0;      ///< first stage: generated tokens taken as inputs
+    std::uint32_t tokensAccepted = 0;   ///< first stage: generated tokens taken as inputs
     bool isPromptWaiting = false;       ///< first stage: the prompt has not been given to the engine
 
     // Results
@@ -51,15 +51,15 @@
 };
 
 /// What to do with a frame of inputs.
-enum class InputVerdict { Take, Duplicate, Gap, OldAttempt, NewerAttempt, WrongLayer };
+enum class InputDecision { Accept, Duplicate, Gap, OldAttempt, NewerAttempt, WrongLayer };
 
 /// Positions received so far.
 std::uint32_t received(const StageStream &stream);
 
 /// Judges a frame and, for Take, appends the part that is new.
-InputVerdict takeActivations(StageStream &stream, const ActivationFrame &frame);
+InputDecision handleActivations(StageStream &stream, const ActivationFrame &frame);
 /// Judges a token for the first stage and, for Take, appends it.
-InputVerdict takeToken(StageStream &stream, Attempt attempt, std::uint32_t index, std::uint32_t token);
+InputDecision handleToken(StageStream &stream, Attempt attempt, std::uint32_t index, std::uint32_t token);
 
 /// Opens a stream, or carries it over to a newer attempt. Returns false, with nothing changed, if the attempt is not newer.
 ///
@@ -77,13 +77,13 @@
 /// The engine has applied the step's positions; at the first stage this may tell the prompt's length.
 void endStep(StageStream &stream, std::uint32_t promptLength, std::uint32_t positions, const std::vector<std::uint64_t> &results);
 /// Last stage: notes a computed token; returns false if the caller already has another one at that place.
-bool noteToken(StageStream &stream, KeptToken token, const std::vector<std::uint32_t> &emitted);
+bool recordToken(StageStream &stream, KeptToken token, const std::vector<std::uint32_t> &emitted);
 
 /// The next stage asks for results from a position. Returns false if they were dropped.
 bool resumeFrom(StageStream &stream, std::uint32_t position);
 /// Results to pass on now, from position `stream.sent`; advances it. Empty if none.
-std::vector<std::uint64_t> takeResults(StageStream &stream);
+std::vector<std::uint64_t> consumeResults(StageStream &stream);
 /// Drops kept results that the next stage has; used when memory is short. Returns the bytes freed.
-std::size_t dropKept(StageStream &stream);
+std::size_t dropKeptResults(StageStream &stream);
 
 } // namespace Parsleytrail
--- a/src/policy/target.cpp
+++ b/src/policy/target.cpp
@@ -12,17 +12,17 @@
     return hash64(target.value, incarnation.value);
 }
 
-bool takesNewWork(const TargetView &target, TimePoint now)
+bool acceptsNewWork(const TargetView &target, TimePoint now)
 {
     const bool isReady = target.last.state == TargetState::Ready;
-    return isReady && !target.isSilent && !target.isLeaving && now >= target.ejectedUntil;
+    return isReady && !target.isTimedOut && !target.isLeaving && now >= target.ejectedUntil;
 }
 
 double expectedMicros(const TargetView &target, TimePoint now)
 {
     const double step = target.last.stepMicros > 0 ? target.last.stepMicros : defaultStepMicros;
     // The report is old by up to an announcement interval; what this entry opened since is counted by itself.
-    const double open = std::max(target.last.streams, target.openHere);
+    const double open = std::max(target.last.streams, target.localOpenCount);
     // A target that has just joined starts with an empty queue and looks best to every entry at once; without the
     // ramp they would all send their next requests there.
     const std::chrono::duration<double> age = now - target.joinedAt;
@@ -30,20 +30,20 @@
     return step * (1 + open + target.last.queued) / ramp;
 }
 
-void noteTargetFailure(TargetView &target, TimePoint now, std::size_t ejected, std::size_t alive)
+void recordTargetFailure(TargetView &target, TimePoint now, std::size_t ejected, std::size_t alive)
 {
-    ++target.failuresInRow;
+    ++target.consecutiveFailures;
     const bool wouldLeaveTooFew = (ejected + 1) * 2 > alive;
     if (wouldLeaveTooFew) {
         return;
     }
-    const auto doublings = std::min<std::uint32_t>(target.failuresInRow - 1, 5);
-    target.ejectedUntil = now + std::min(firstEjection * (1 << doublings), longestEjection);
+    const auto doublings = std::min<std::uint32_t>(target.consecutiveFailures - 1, 5);
+    target.ejectedUntil = now + std::min(baseEjectionTime * (1 << doublings), maxEjectionTime);
 }
 
-void noteTargetSuccess(TargetView &target)
+void recordTargetSuccess(TargetView &target)
 {
-    target.failuresInRow = 0;
+    target.consecutiveFailures = 0;
 }
 
 } // namespace Parsleytrail
--- a/src/policy/served_work.cpp
+++ b/src/policy/usage.cpp
@@ -1,11 +1,11 @@
-#include "policy/served_work.h"
+#include "policy/usage.h"
 
 namespace Parsleytrail
 {
 
 constexpr double microsPerHour = 3.6e9;
 
-void addTo(WorkCounters &sum, const WorkCounters &counters)
+void addTo(UsageCounters &sum, const UsageCounters &counters)
 {
     sum.answered += counters.answered;
     sum.refused += counters.refused;
@@ -18,42 +18,42 @@
     }
 }
 
-bool parseGrouping(std::string_view text, WorkGrouping &grouping)
+bool parseGrouping(std::string_view text, UsageGrouping &grouping)
 {
     if (text == "workspace") {
-        grouping = WorkGrouping::Workspace;
+        grouping = UsageGrouping::Workspace;
     } else if (text == "service") {
-        grouping = WorkGrouping::Service;
+        grouping = UsageGrouping::Service;
     } else if (text == "model") {
-        grouping = WorkGrouping::Model;
+        grouping = UsageGrouping::Model;
     } else {
         return false;
     }
     return true;
 }
 
-static const std::string &nameOf(const WorkKey &key, WorkGrouping grouping)
+static const std::string &nameOf(const UsageKey &key, UsageGrouping grouping)
 {
     switch (grouping) {
-    case WorkGrouping::Workspace:
+    case UsageGrouping::Workspace:
         return key.workspace.value;
-    case WorkGrouping::Service:
+    case UsageGrouping::Service:
         return key.service.value;
-    case WorkGrouping::Model:
+    case UsageGrouping::Model:
         return key.model.value;
     }
     return key.workspace.value;
 }
 
-std::vector<WorkLine> summarize(const WorkLedger &ledger, WorkGrouping grouping, const std::map<std::string, double> &pricePerHour)
+std::vector<UsageLine> summarize(const UsageLedger &ledger, UsageGrouping grouping, const std::map<std::string, double> &pricePerHour)
 {
-    std::map<std::string, WorkCounters> sums;
+    std::map<std::string, UsageCounters> sums;
     for (const auto &[key, counters] : ledger) {
         addTo(sums[nameOf(key, grouping)], counters);
     }
-    std::vector<WorkLine> lines;
+    std::vector<UsageLine> lines;
     for (auto &[name, counters] : sums) {
-        WorkLine line{name, std::move(counters), 0};
+        UsageLine line{name, std::move(counters), 0};
         for (const auto &[kind, micros] : line.counters.acceleratorMicros) {
             const auto price = pricePerHour.find(kind);
             line.cost += price == pricePerHour.end() ? 0 : static_cast<double>(micros) / microsPerHour * price->second;
--- a/src/policy/served_work.h
+++ b/src/policy/usage.h
@@ -17,17 +17,17 @@
 {
 
 /// What work is counted by.
-struct WorkKey {
+struct UsageKey {
     std::int64_t hour = 0;   ///< hours since 1970, UTC
     WorkspaceName workspace; ///< of the caller
     ServiceName service;     ///< named by the caller
     ModelName model;         ///< of a pipeline; empty for plain services
 
-    auto operator<=>(const WorkKey &) const = default;
+    auto operator<=>(const UsageKey &) const = default;
 };
 
 /// Counters of one key.
-struct WorkCounters {
+struct UsageCounters {
     std::uint64_t answered = 0;                             ///< requests answered in full
     std::uint64_t refused = 0;                              ///< requests not run
     std::uint64_t unknown = 0;                              ///< requests that may have been run and were not answered in full
@@ -36,23 +36,23 @@
     std::uint64_t completionTokens = 0;                     ///< given to callers, also in answers that broke off
     std::map<std::string, std::uint64_t> acceleratorMicros; ///< by kind of accelerator
 };
-void addTo(WorkCounters &sum, const WorkCounters &counters);
+void addTo(UsageCounters &sum, const UsageCounters &counters);
 
 /// All counters of one start of an entry.
-using WorkLedger = std::map<WorkKey, WorkCounters>;
+using UsageLedger = std::map<UsageKey, UsageCounters>;
 
 /// What a report sums by.
-enum class WorkGrouping { Workspace, Service, Model };
+enum class UsageGrouping { Workspace, Service, Model };
 /// Reads "workspace", "service" or "model"; false for another word.
-bool parseGrouping(std::string_view text, WorkGrouping &grouping);
+bool parseGrouping(std::string_view text, UsageGrouping &grouping);
 
 /// One line of a report.
-struct WorkLine {
-    std::string name;      ///< of the workspace, service or model
-    WorkCounters counters; ///< summed
-    double cost = 0;       ///< accelerator time at the file's prices
+struct UsageLine {
+    std::string name;       ///< of the workspace, service or model
+    UsageCounters counters; ///< summed
+    double cost = 0;        ///< accelerator time at the file's prices
 };
 /// Sums a ledger; `pricePerHour` is by kind of accelerator. Lines are sorted by name.
-std::vector<WorkLine> summarize(const WorkLedger &ledger, WorkGrouping grouping, const std::map<std::string, double> &pricePerHour);
+std::vector<UsageLine> summarize(const UsageLedger &ledger, UsageGrouping grouping, const std::map<std::string, double> &pricePerHour);
 
 } // namespace Parsleytrail
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -134,7 +134,7 @@
         const Outcome outcome = call->hasHead ? Outcome::Run : failure->wasHandedOver ? Outcome::Unknown : Outcome::NotRun;
         return fail(request, outcome, "call application", failure->error.toString());
     }
-    noteTime(callTime, std::chrono::duration<double>(context.clock.now() - call->startedAt).count());
+    recordTime(callTime, std::chrono::duration<double>(context.clock.now() - call->startedAt).count());
     call->isAnswered = true;
     endIfSent(request);
 }
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -168,8 +168,8 @@
         const double seconds = std::chrono::duration<double>(now - started).count();
         if (result.isOk()) {
             movedAt = now;
-            noteTime(stepTime, seconds);
-            noteTime(itemTime, seconds / static_cast<double>(shared->size()));
+            recordTime(stepTime, seconds);
+            recordTime(itemTime, seconds / static_cast<double>(shared->size()));
             hasStepSinceDeath = true;
             stepHistogram.record(seconds);
         }
@@ -311,10 +311,10 @@
 {
     // Steps take longer when more streams share them, as after a burst: judged by the steps before it, the engine would be
     // taken for stuck just when it has most to do.
-    const milliseconds usual = overdueAfter(d->stepTime, shortestStepOverdue, longestStepOverdue);
+    const milliseconds usual = adaptiveTimeout(d->stepTime, shortestStepOverdue, longestStepOverdue);
     const auto items = static_cast<double>(d->itemsInFlight);
     const TimeEstimate ofAll{d->itemTime.meanSeconds * items, d->itemTime.deviationSeconds * items};
-    const milliseconds forItems = overdueAfter(ofAll, shortestStepOverdue, longestStepOverdue);
+    const milliseconds forItems = adaptiveTimeout(ofAll, shortestStepOverdue, longestStepOverdue);
     return d->context.clock.now() - d->movedAt < std::max(usual, forItems);
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -182,8 +182,8 @@
         return false;
     }
     Configuration fresh;
-    switch (takeUpdate(configuration, update, fresh)) {
-    case UpdateVerdict::Taken:
+    switch (applyUpdate(configuration, update, fresh)) {
+    case UpdateResult::Applied:
         configuration = std::move(fresh);
         logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"from", link->peer().process}});
         if (history.isOn()) {
@@ -191,13 +191,13 @@
         }
         announcer->announce();
         break;
-    case UpdateVerdict::NotNewer:
+    case UpdateResult::NotNewer:
         logEvent(Event::ConfigurationOlder, {{"version", std::to_string(update.version.value)}, {"from", link->peer().process}});
         break;
-    case UpdateVerdict::Lacking:
+    case UpdateResult::BaseMismatch:
         link->send(ConfigurationWanted{});
         break;
-    case UpdateVerdict::Damaged:
+    case UpdateResult::Damaged:
         logEvent(Event::ConfigurationDamaged, {{"version", std::to_string(update.version.value)}, {"from", link->peer().process}});
         break;
     }
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -60,23 +60,23 @@
     {
     }
 
-    void count(InputVerdict verdict)
+    void count(InputDecision verdict)
     {
         switch (verdict) {
-        case InputVerdict::Duplicate:
+        case InputDecision::Duplicate:
             ++duplicate;
             return;
-        case InputVerdict::Gap:
+        case InputDecision::Gap:
             ++gap;
             return;
-        case InputVerdict::OldAttempt:
+        case InputDecision::OldAttempt:
             ++oldAttempt;
             return;
-        case InputVerdict::WrongLayer:
+        case InputDecision::WrongLayer:
             ++wrongLayer;
             return;
-        case InputVerdict::Take:
-        case InputVerdict::NewerAttempt:
+        case InputDecision::Accept:
+        case InputDecision::NewerAttempt:
             return;
         }
     }
@@ -199,7 +199,7 @@
 {
     StageStream &core = stream.core;
     const std::uint32_t position = core.sent;
-    std::vector<std::uint64_t> results = takeResults(core);
+    std::vector<std::uint64_t> results = consumeResults(core);
     if (results.empty()) {
         return;
     }
@@ -217,7 +217,7 @@
 void Stages::Private::feedBack(HeldStream &stream, const TokenFrame &frame)
 {
     if (stream.core.isFirst) {
-        takeToken(stream.core, frame.attempt, frame.index, frame.token);
+        handleToken(stream.core, frame.attempt, frame.index, frame.token);
         return;
     }
     context.peers.link(addressOf(stream.open.stages.front()))->send(frame);
@@ -251,7 +251,7 @@
                 largest = &stream;
             }
         }
-        const std::size_t freed = largest ? dropKept(largest->core) : 0;
+        const std::size_t freed = largest ? dropKeptResults(largest->core) : 0;
         if (freed == 0) {
             return;
         }
@@ -299,7 +299,7 @@
         if (stream.core.isFinished) {
             return true;
         }
-        if (!noteToken(stream.core, token, stream.open.tokens)) {
+        if (!recordToken(stream.core, token, stream.open.tokens)) {
             return false;
         }
     }
@@ -425,18 +425,18 @@
 void Stages::Private::takeActivationFrame(const ActivationFrame &frame)
 {
     HeldStream *stream = find(frame.request);
-    const InputVerdict verdict = stream ? takeActivations(stream->core, frame) : InputVerdict::NewerAttempt;
-    if (verdict == InputVerdict::NewerAttempt) {
+    const InputDecision verdict = stream ? handleActivations(stream->core, frame) : InputDecision::NewerAttempt;
+    if (verdict == InputDecision::NewerAttempt) {
         if (EarlyFrames *frames = earlyFor(frame.request)) {
             frames->activations.push_back(frame);
         }
         return;
     }
     drops.count(verdict);
-    if (verdict == InputVerdict::Gap) {
+    if (verdict == InputDecision::Gap) {
         askResume(*stream);
     }
-    if (verdict == InputVerdict::Take) {
+    if (verdict == InputDecision::Accept) {
         stream->askedFrom = UINT32_MAX;
         pump(*stream);
     }
@@ -445,15 +445,15 @@
 void Stages::Private::takeTokenFrame(const TokenFrame &frame)
 {
     HeldStream *stream = find(frame.request);
-    const InputVerdict verdict = stream ? takeToken(stream->core, frame.attempt, frame.index, frame.token) : InputVerdict::NewerAttempt;
-    if (verdict == InputVerdict::NewerAttempt) {
+    const InputDecision verdict = stream ? handleToken(stream->core, frame.attempt, frame.index, frame.token) : InputDecision::NewerAttempt;
+    if (verdict == InputDecision::NewerAttempt) {
         if (EarlyFrames *frames = earlyFor(frame.request)) {
             frames->tokens.push_back(frame);
         }
         return;
     }
     drops.count(verdict);
-    if (verdict == InputVerdict::Take) {
+    if (verdict == InputDecision::Accept) {
         pump(*stream);
     }
 }
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -2,7 +2,7 @@
 
 #include "base/log.h"
 #include "policy/budget.h"
-#include "policy/circuit.h"
+#include "policy/circuit_breaker.h"
 
 #include <absl/strings/escaping.h>
 #include <absl/strings/str_cat.h>
@@ -38,7 +38,7 @@
     HttpClient &client;
     Address platform;
     StoreLimits limits;
-    Circuit circuit;
+    CircuitBreaker circuit;
     RateBudget readBudget;
     RateBudget writeBudget;
     std::uint64_t reads = 0;
@@ -62,7 +62,7 @@
 {
     const bool hasFailed = result.failure || result.status >= 500;
     if (!hasFailed) {
-        if (noteSuccess(circuit)) {
+        if (recordSuccess(circuit)) {
             logEvent(Event::StoreBack, {{"peer", platform.toString()}});
         }
         return result.status == 404   ? StoreStatus::NotFound
@@ -70,7 +70,7 @@
                : result.status < 300  ? StoreStatus::Ok
                                       : StoreStatus::Unavailable;
     }
-    if (noteFailure(circuit, clock.now())) {
+    if (recordFailure(circuit, clock.now())) {
         logEvent(Event::StoreUnreachable,
                  {{"peer", platform.toString()}, {"reason", result.failure ? result.failure->error.text : std::to_string(result.status)}});
     }
@@ -81,7 +81,7 @@
 void Store::Private::call(Access access, HttpClientRequest request, Done done)
 {
     const TimePoint now = clock.now();
-    if (!tryPass(circuit, now)) {
+    if (!tryAcquireCall(circuit, now)) {
         return refuse(done, "circuit open");
     }
     if (!tryTake(access == Access::Read ? readBudget : writeBudget, now)) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -35,24 +35,24 @@
 }
 
 /// The usual file with one more target class.
-std::string withClass(const std::string &name)
+std::string withTargetClass(const std::string &name)
 {
     return usualConfiguration("[target-class." + name + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
 }
 
 /// A bad text and where its only problem must be found.
-struct BadText {
+struct InvalidText {
     std::string text;    ///< appended to the usual file
     std::string section; ///< named by the problem
     std::string key;     ///< named by the problem
 };
 
-std::ostream &operator<<(std::ostream &out, const BadText &bad)
+std::ostream &operator<<(std::ostream &out, const InvalidText &invalid)
 {
-    return out << bad.text;
+    return out << invalid.text;
 }
 
-const std::vector<BadText> badTexts = {
+const std::vector<InvalidText> invalidTexts = {
     {"[service.x]\nkind = pipe\n", "service.x", "kind"},
     {"[service.x]\nkind = pipeline\nmodel = none\n", "service.x", "model"},
     {"[service.x]\nkind = pipeline\nmodel = assistant\nversion = v9\n", "service.x", "version"},
@@ -86,13 +86,13 @@
 
 BOOST_AUTO_TEST_SUITE(configuration)
 
-BOOST_DATA_TEST_CASE(each_error_names_section_key_and_line, boost::unit_test::data::make(badTexts), bad)
+BOOST_DATA_TEST_CASE(each_error_names_section_key_and_line, boost::unit_test::data::make(invalidTexts), invalid)
 {
-    const std::string text = usualConfiguration() + bad.text;
+    const std::string text = usualConfiguration() + invalid.text;
     const std::vector<IniProblem> problems = problemsOf(text);
     BOOST_REQUIRE(!problems.empty());
-    const auto found = std::find_if(problems.begin(), problems.end(), [&bad](const IniProblem &problem) {
-        return problem.section == bad.section && problem.key == bad.key;
+    const auto found = std::find_if(problems.begin(), problems.end(), [&invalid](const IniProblem &problem) {
+        return problem.section == invalid.section && problem.key == invalid.key;
     });
     BOOST_REQUIRE_MESSAGE(found != problems.end(), problems.front().toString());
     const std::string good = usualConfiguration();
@@ -103,7 +103,7 @@
     BOOST_TEST(!found->text.empty());
 }
 
-BOOST_AUTO_TEST_CASE(all_errors_are_told_at_once)
+BOOST_AUTO_TEST_CASE(all_errors_are_reported_at_once)
 {
     const std::vector<IniProblem> problems = problemsOf("[service.a]\nkind = x\nflavour = y\n[model.b]\nlayers = -1\n[odd.c]\n");
     BOOST_TEST(problems.size() == 5u); // kind, flavour, layers, versions missing, odd section
@@ -130,7 +130,7 @@
     BOOST_TEST(parse(configurationText(configuration)).digest == configuration.digest);
 }
 
-BOOST_AUTO_TEST_CASE(order_blanks_and_comments_change_nothing)
+BOOST_AUTO_TEST_CASE(order_blanks_and_comments_do_not_change_the_digest)
 {
     const Configuration a = parse("[model.m]\nlayers = 3\nversions = v1\n[target-class.c]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
     const Configuration b = parse("; hello\n[target-class.c]\ntokens-per-second=1\nmemory-gib =  1\naccelerator = x\n\n[model.m]\nversions = v1\nlayers = 3\n");
@@ -143,23 +143,23 @@
 {
     Configuration first = parse(usualConfiguration());
     first.version.value = 1;
-    Configuration second = parse(withClass("b"));
+    Configuration second = parse(withTargetClass("b"));
     second.version.value = 2;
     Configuration third = parse(usualConfiguration());
     third.version.value = 3;
     ConfigurationLog log;
-    noteChange(log, {}, first);
-    noteChange(log, first, second);
+    recordChange(log, {}, first);
+    recordChange(log, first, second);
     const ConfigurationUpdate toSecond = makeUpdate(second, log, first.version, SectionScope::All);
     BOOST_TEST(toSecond.sections.size() == 1u);
     Configuration result;
-    BOOST_TEST((takeUpdate(first, toSecond, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate(first, toSecond, result) == UpdateResult::Applied));
     BOOST_TEST(result.digest == second.digest);
-    noteChange(log, second, third);
+    recordChange(log, second, third);
     const ConfigurationUpdate toThird = makeUpdate(third, log, second.version, SectionScope::All);
     BOOST_TEST(toThird.sections.empty());
     BOOST_TEST(toThird.removed.size() == 1u);
-    BOOST_TEST((takeUpdate(second, toThird, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate(second, toThird, result) == UpdateResult::Applied));
     BOOST_TEST(result.digest == first.digest);
     // A key that moves from one workspace to another in one change
     Configuration before = parse(usualConfiguration("[workspace.w]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
@@ -167,21 +167,21 @@
     Configuration after = parse(usualConfiguration("[workspace.a]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
     after.version.value = 2;
     ConfigurationLog keys;
-    noteChange(keys, before, after);
-    BOOST_TEST((takeUpdate(before, makeUpdate(after, keys, before.version, SectionScope::All), result) == UpdateVerdict::Taken));
-    BOOST_TEST(result.workspaceOfKey == after.workspaceOfKey);
+    recordChange(keys, before, after);
+    BOOST_TEST((applyUpdate(before, makeUpdate(after, keys, before.version, SectionScope::All), result) == UpdateResult::Applied));
+    BOOST_TEST(result.workspaceByKeyDigest == after.workspaceByKeyDigest);
     BOOST_TEST(result.workspaces.size() == after.workspaces.size());
     // Late, doubled and out of order
-    BOOST_TEST((takeUpdate(third, toSecond, result) == UpdateVerdict::NotNewer));
-    BOOST_TEST((takeUpdate(third, toThird, result) == UpdateVerdict::NotNewer));
-    BOOST_TEST((takeUpdate(first, toThird, result) == UpdateVerdict::Lacking));
+    BOOST_TEST((applyUpdate(third, toSecond, result) == UpdateResult::NotNewer));
+    BOOST_TEST((applyUpdate(third, toThird, result) == UpdateResult::NotNewer));
+    BOOST_TEST((applyUpdate(first, toThird, result) == UpdateResult::BaseMismatch));
     // Whole for who knows nothing, or a version that the log has forgotten
-    BOOST_TEST((takeUpdate({}, makeUpdate(third, log, {}, SectionScope::All), result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate({}, makeUpdate(third, log, {}, SectionScope::All), result) == UpdateResult::Applied));
     BOOST_TEST((makeUpdate(third, log, {77}, SectionScope::All).baseVersion == ConfigurationVersion{}));
     // Damaged on the way
     ConfigurationUpdate damaged = toSecond;
     damaged.sections[0].text += "price-per-hour = 3\n";
-    BOOST_TEST((takeUpdate(first, damaged, result) == UpdateVerdict::Damaged));
+    BOOST_TEST((applyUpdate(first, damaged, result) == UpdateResult::Damaged));
 }
 
 BOOST_AUTO_TEST_CASE(sidecars_get_no_workspaces)
@@ -193,7 +193,7 @@
         BOOST_TEST(section.name.find("workspace.") != 0u);
     }
     Configuration result;
-    BOOST_TEST((takeUpdate({}, update, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate({}, update, result) == UpdateResult::Applied));
     BOOST_TEST(result.services.size() == 2u);
     BOOST_TEST(result.workspaces.empty());
 }
@@ -207,19 +207,19 @@
     BOOST_TEST(findHeader(shown.headers, "ETag") == "\"1\"");
     BOOST_TEST(parse(shown.body).digest == parse(usualConfiguration()).digest);
 
-    const HttpResult dry = cluster.operate("PUT", "/operator/v1/configuration?dry-run", withClass("b"));
+    const HttpResult dry = cluster.operate("PUT", "/operator/v1/configuration?dry-run", withTargetClass("b"));
     BOOST_TEST(json::parse(dry.body)["result"] == "dry-run");
     BOOST_TEST(json::parse(dry.body)["changes"][0]["section"] == "target-class.b");
     BOOST_TEST(json::parse(cluster.operate("PUT", "/operator/v1/configuration", usualConfiguration()).body)["result"] == "unchanged");
 
-    const HttpResult bad = cluster.operate("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
-    BOOST_TEST(bad.status == 422);
-    BOOST_TEST(json::parse(bad.body)["errors"].size() == 2u);
-    BOOST_TEST(findHeader(bad.headers, "parsley-outcome") == "not-run");
+    const HttpResult invalid = cluster.operate("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
+    BOOST_TEST(invalid.status == 422);
+    BOOST_TEST(json::parse(invalid.body)["errors"].size() == 2u);
+    BOOST_TEST(findHeader(invalid.headers, "parsley-outcome") == "not-run");
 
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "\"7\""}}).status == 412);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "seven"}}).status == 400);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "\"1\""}}).status == 200);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"7\""}}).status == 412);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "seven"}}).status == 400);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"1\""}}).status == 200);
     cluster.waitReady(7);
     const json history = json::parse(cluster.operate("GET", "/operator/v1/configuration/history", {}, {}, 1).body)["history"];
     BOOST_REQUIRE(history.size() == 2u);
@@ -239,7 +239,7 @@
         request.method = "PUT";
         request.path = "/operator/v1/configuration";
         request.headers = {{"Authorization", std::string("Bearer ") + operatorKey}, {"If-Match", "\"1\""}};
-        request.body = withClass(i == 0 ? "first" : "second");
+        request.body = withTargetClass(i == 0 ? "first" : "second");
         cluster.client.fetch(cluster.entries[i]->operatorAddress(), request, [&results, i](const HttpResult &result) {
             results[i] = result;
         });
@@ -264,7 +264,7 @@
     // tells the operator the truth: accepted, as version 2, once.
     Cluster cluster;
     cluster.platform.faults().loseAnswers = 2;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withClass("b"));
+    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 200);
     BOOST_TEST(json::parse(result.body)["version"] == 2);
     BOOST_TEST(json::parse(cluster.operate("GET", "/operator/v1/configuration/history").body)["history"].size() == 2u);
@@ -275,7 +275,7 @@
 {
     Cluster cluster;
     cluster.platform.faults().isDown = true;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withClass("b"));
+    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 503);
     BOOST_TEST(findHeader(result.headers, "parsley-outcome") == "not-run");
     BOOST_TEST(!findHeader(result.headers, "Retry-After").empty());
@@ -292,7 +292,7 @@
     // A restarted entry holds nothing and can't read the store. It knows a peer from its settings; that peer, in service,
     // gives it the configuration, and only then is it ready.
     Cluster cluster;
-    cluster.apply(withClass("b"));
+    cluster.apply(withTargetClass("b"));
     cluster.waitReady(7);
     cluster.killEntry(1);
     cluster.platform.faults().isSilent = true;
@@ -331,7 +331,7 @@
     options.entries = 1;
     Cluster cluster(options);
     for (int i = 0; i < 70; ++i) {
-        cluster.apply(withClass("c" + std::to_string(i)));
+        cluster.apply(withTargetClass("c" + std::to_string(i)));
     }
     cluster.killEntry(0);
     cluster.startEntry(0);
@@ -339,7 +339,7 @@
         return cluster.entries[0]->isReady();
     });
     BOOST_TEST(cluster.entries[0]->configurationVersion() == 71u);
-    BOOST_TEST(parse(cluster.operate("GET", "/operator/v1/configuration").body).digest == parse(withClass("c69")).digest);
+    BOOST_TEST(parse(cluster.operate("GET", "/operator/v1/configuration").body).digest == parse(withTargetClass("c69")).digest);
 }
 
 BOOST_AUTO_TEST_CASE(a_change_of_keys_takes_effect_at_every_entry)
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,7 +1,7 @@
 // The decisions, as pure functions.
 #include "policy/budget.h"
 #include "policy/chain.h"
-#include "policy/circuit.h"
+#include "policy/circuit_breaker.h"
 #include "policy/progress.h"
 #include "policy/rendezvous.h"
 #include "policy/stage_stream.h"
@@ -45,7 +45,7 @@
     return list;
 }
 
-const ModelNeed need{{"m"}, "v1", "", 30};
+const ModelRequirements requirements{{"m"}, "v1", "", 30};
 
 OpenStage openFor(std::uint32_t attempt, std::uint32_t stage, std::uint32_t stages)
 {
@@ -93,10 +93,10 @@
                 frame.activations.push_back(1000 + frame.position + p);
             }
             const std::uint32_t before = received(stream);
-            const InputVerdict verdict = takeActivations(stream, frame);
-            RC_ASSERT((verdict == InputVerdict::Take) == (received(stream) > before));
+            const InputDecision decision = handleActivations(stream, frame);
+            RC_ASSERT((decision == InputDecision::Accept) == (received(stream) > before));
             if (action == 1 || action == 2) {
-                RC_ASSERT(verdict != InputVerdict::Take);
+                RC_ASSERT(decision != InputDecision::Accept);
             }
             const auto input = beginStep(stream);
             if (input) {
@@ -112,33 +112,33 @@
     BOOST_TEST(isRight);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_attempt_passes_on_what_the_next_stage_asks_for)
+BOOST_AUTO_TEST_CASE(a_new_attempt_resends_results_from_the_requested_position)
 {
     StageStream stream;
     openAttempt(stream, openFor(1, 0, 3));
     endStep(stream, 4, 4, {10, 11, 12, 13});
-    BOOST_TEST(takeResults(stream).size() == 4u);
-    BOOST_TEST(takeResults(stream).empty());
+    BOOST_TEST(consumeResults(stream).size() == 4u);
+    BOOST_TEST(consumeResults(stream).empty());
     BOOST_TEST(openAttempt(stream, openFor(2, 0, 3)));
-    BOOST_TEST(takeResults(stream).empty()); // nobody has asked yet
+    BOOST_TEST(consumeResults(stream).empty()); // nobody has asked yet
     BOOST_TEST(resumeFrom(stream, 2));
-    BOOST_TEST((takeResults(stream) == std::vector<std::uint64_t>{12, 13}));
+    BOOST_TEST((consumeResults(stream) == std::vector<std::uint64_t>{12, 13}));
     BOOST_TEST(!openAttempt(stream, openFor(2, 0, 3))); // not newer
-    BOOST_TEST(dropKept(stream) == 4 * sizeof(std::uint64_t));
+    BOOST_TEST(dropKeptResults(stream) == 4 * sizeof(std::uint64_t));
     BOOST_TEST(!resumeFrom(stream, 2));
     BOOST_TEST(resumeFrom(stream, 4));
 }
 
-BOOST_AUTO_TEST_CASE(the_last_stage_notices_another_token_than_the_caller_has)
+BOOST_AUTO_TEST_CASE(the_last_stage_detects_a_token_that_differs_from_the_one_sent)
 {
     StageStream stream;
     OpenStage open = openFor(2, 2, 3);
     open.tokens = {7, 8};
     openAttempt(stream, open);
-    BOOST_TEST(noteToken(stream, {7, "a", FinishReason::None}, open.tokens));
-    BOOST_TEST(!noteToken(stream, {9, "b", FinishReason::None}, open.tokens));
-    BOOST_TEST(noteToken(stream, {8, "b", FinishReason::None}, open.tokens));
-    BOOST_TEST(noteToken(stream, {5, "c", FinishReason::Stop}, open.tokens));
+    BOOST_TEST(recordToken(stream, {7, "a", FinishReason::None}, open.tokens));
+    BOOST_TEST(!recordToken(stream, {9, "b", FinishReason::None}, open.tokens));
+    BOOST_TEST(recordToken(stream, {8, "b", FinishReason::None}, open.tokens));
+    BOOST_TEST(recordToken(stream, {5, "c", FinishReason::Stop}, open.tokens));
     BOOST_TEST(stream.isFinished);
 }
 
@@ -153,16 +153,16 @@
             const auto begin = *rc::gen::inRange<std::uint32_t>(0, 3) * 10;
             const auto length = (1 + *rc::gen::inRange<std::uint32_t>(0, 2)) * 10;
             views.push_back(holder("t" + std::to_string(i), begin, std::min(begin + length, 30u), "dc-" + std::to_string(*rc::gen::inRange(0, 3))));
-            views.back().isSilent = *rc::gen::inRange(0, 5) == 0;
+            views.back().isTimedOut = *rc::gen::inRange(0, 5) == 0;
         }
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
         const auto list = pointers(views);
-        const auto chain = chooseChain(list, need, {"dc-0"}, start, random);
+        const auto chain = selectChain(list, requirements, {"dc-0"}, start, random);
         // Which layers can be reached from 0 by usable ranges?
         std::set<std::uint32_t> reachable = {0};
         for (int pass = 0; pass < 3; ++pass) {
             for (const TargetView &view : views) {
-                if (!view.isSilent && reachable.count(view.last.layerBegin)) {
+                if (!view.isTimedOut && reachable.count(view.last.layerBegin)) {
                     reachable.insert(view.last.layerEnd);
                 }
             }
@@ -171,7 +171,7 @@
         std::uint32_t next = 0;
         for (const std::size_t index : chain) {
             RC_ASSERT(views[index].last.layerBegin == next);
-            RC_ASSERT(!views[index].isSilent);
+            RC_ASSERT(!views[index].isTimedOut);
             next = views[index].last.layerEnd;
         }
         RC_ASSERT(chain.empty() || next == 30);
@@ -189,16 +189,16 @@
     }
     std::mt19937_64 random(1);
     for (int i = 0; i < 20; ++i) {
-        for (const std::size_t index : chooseChain(pointers(views), need, {"dc-1"}, start, random)) {
+        for (const std::size_t index : selectChain(pointers(views), requirements, {"dc-1"}, start, random)) {
             BOOST_TEST(views[index].last.dataCenter == "dc-1");
         }
     }
     views[4].last.streams = 50; // the middle range of dc-1 is busy: worth two hops
-    const auto chain = chooseChain(pointers(views), need, {"dc-1"}, start, random);
+    const auto chain = selectChain(pointers(views), requirements, {"dc-1"}, start, random);
     BOOST_TEST(views[chain[1]].last.dataCenter == "dc-0");
 }
 
-BOOST_AUTO_TEST_CASE(two_choices_spread_what_stale_reports_would_herd)
+BOOST_AUTO_TEST_CASE(two_random_choices_prevent_herding_on_stale_reports)
 {
     // One of ten holders reports a slightly shorter queue. Taking the best would send every entry there; with two random
     // choices it gets about a fifth.
@@ -210,7 +210,7 @@
     std::mt19937_64 random(7);
     int first = 0;
     for (int i = 0; i < 1000; ++i) {
-        first += chooseChain(pointers(views), need, {"dc-0"}, start, random)[0] == 0 ? 1 : 0;
+        first += selectChain(pointers(views), requirements, {"dc-0"}, start, random)[0] == 0 ? 1 : 0;
     }
     BOOST_TEST(first > 100);
     BOOST_TEST(first < 300);
@@ -225,14 +225,14 @@
     }
     std::size_t ejected = 0;
     for (TargetView &view : views) {
-        noteTargetFailure(view, start, ejected, views.size());
+        recordTargetFailure(view, start, ejected, views.size());
         ejected += start < view.ejectedUntil ? 1 : 0;
     }
     BOOST_TEST(ejected == 2u);
-    BOOST_TEST(!takesNewWork(views[0], start));
-    BOOST_TEST(takesNewWork(views[0], start + firstEjection));
-    noteTargetFailure(views[0], start + firstEjection, 1, views.size());
-    BOOST_TEST(!takesNewWork(views[0], start + firstEjection * 2)); // longer the second time
+    BOOST_TEST(!acceptsNewWork(views[0], start));
+    BOOST_TEST(acceptsNewWork(views[0], start + baseEjectionTime));
+    recordTargetFailure(views[0], start + baseEjectionTime, 1, views.size());
+    BOOST_TEST(!acceptsNewWork(views[0], start + baseEjectionTime * 2)); // longer the second time
 }
 
 BOOST_AUTO_TEST_CASE(a_target_that_joins_ramps_up)
@@ -251,12 +251,12 @@
 
 using Reports = std::vector<std::optional<StageProgress>>;
 
-void checkBlame(const Reports &reports, std::uint32_t stage, StageFault fault)
+void checkDiagnosis(const Reports &reports, std::uint32_t stage, StageFault fault)
 {
-    const std::optional<StageBlame> blame = blameStage(reports);
-    BOOST_REQUIRE(blame.has_value());
-    BOOST_TEST(blame->stage == stage);
-    BOOST_TEST(toString(blame->fault) == toString(fault));
+    const std::optional<StageDiagnosis> diagnosis = findFaultyStage(reports);
+    BOOST_REQUIRE(diagnosis.has_value());
+    BOOST_TEST(diagnosis->stage == stage);
+    BOOST_TEST(toString(diagnosis->fault) == toString(fault));
 }
 
 } // namespace
@@ -266,12 +266,12 @@
     const StageProgress fine{10, 10, 10, true};
     const StageProgress hangs{10, 9, 9, true};
     const StageProgress lacksFrame{8, 8, 8, true};
-    BOOST_TEST(!blameStage(Reports{fine, fine, fine}).has_value());
-    checkBlame({fine, std::nullopt, fine}, 1, StageFault::NoAnswer);
-    checkBlame({fine, fine, hangs}, 2, StageFault::InputsNotApplied);
-    checkBlame({fine, lacksFrame, fine}, 1, StageFault::InputsNotReceived);
-    checkBlame({StageProgress{0, 0, 0, false}, fine, fine}, 0, StageFault::StreamUnknown);
-    checkBlame({fine, StageProgress{10, 8, 8, true}, lacksFrame}, 1, StageFault::InputsNotApplied);
+    BOOST_TEST(!findFaultyStage(Reports{fine, fine, fine}).has_value());
+    checkDiagnosis({fine, std::nullopt, fine}, 1, StageFault::NoAnswer);
+    checkDiagnosis({fine, fine, hangs}, 2, StageFault::InputsNotApplied);
+    checkDiagnosis({fine, lacksFrame, fine}, 1, StageFault::InputsNotReceived);
+    checkDiagnosis({StageProgress{0, 0, 0, false}, fine, fine}, 0, StageFault::StreamUnknown);
+    checkDiagnosis({fine, StageProgress{10, 8, 8, true}, lacksFrame}, 1, StageFault::InputsNotApplied);
 }
 
 BOOST_AUTO_TEST_CASE(an_engine_that_ends_steps_is_not_stuck)
@@ -281,15 +281,15 @@
     const StageProgress fine{10, 10, 10, true};
     const StageProgress waits{10, 9, 9, true, true};
     const StageProgress hangs{10, 9, 9, true, false};
-    BOOST_TEST(!blameStage(Reports{fine, waits, fine}).has_value());
-    std::uint32_t idleQueries = 0;
+    BOOST_TEST(!findFaultyStage(Reports{fine, waits, fine}).has_value());
+    std::uint32_t inconclusiveQueries = 0;
     for (int i = 0; i < 5; ++i) {
-        BOOST_TEST((judgeStall(Reports{fine, waits, fine}, idleQueries).action == StallAction::Wait));
+        BOOST_TEST((decideStallAction(Reports{fine, waits, fine}, inconclusiveQueries).action == StallAction::Wait));
     }
-    BOOST_TEST(idleQueries == 0u);
-    BOOST_TEST((judgeStall(Reports{fine, hangs, fine}, idleQueries).action == StallAction::Replace));
-    checkBlame({waits, hangs, fine}, 1, StageFault::InputsNotApplied);
-    checkBlame({waits, std::nullopt, fine}, 1, StageFault::NoAnswer);
+    BOOST_TEST(inconclusiveQueries == 0u);
+    BOOST_TEST((decideStallAction(Reports{fine, hangs, fine}, inconclusiveQueries).action == StallAction::Replace));
+    checkDiagnosis({waits, hangs, fine}, 1, StageFault::InputsNotApplied);
+    checkDiagnosis({waits, std::nullopt, fine}, 1, StageFault::NoAnswer);
 }
 
 BOOST_AUTO_TEST_CASE(a_frame_that_may_be_on_its_way_is_waited_for)
@@ -299,48 +299,48 @@
     const StageProgress fine{10, 10, 10, true};
     const StageProgress lacksFrame{8, 8, 8, true};
     const Reports lost{fine, lacksFrame, fine};
-    std::uint32_t idleQueries = 0;
-    BOOST_TEST((judgeStall(lost, idleQueries).action == StallAction::Wait));
-    BOOST_TEST((judgeStall(lost, idleQueries).action == StallAction::Renew));
-    const StallVerdict verdict = judgeStall(lost, idleQueries);
-    BOOST_TEST((verdict.action == StallAction::Replace));
-    BOOST_TEST(verdict.blame.stage == 1u);
-    BOOST_TEST(idleQueries == 0u);
+    std::uint32_t inconclusiveQueries = 0;
+    BOOST_TEST((decideStallAction(lost, inconclusiveQueries).action == StallAction::Wait));
+    BOOST_TEST((decideStallAction(lost, inconclusiveQueries).action == StallAction::Renew));
+    const StallDecision decision = decideStallAction(lost, inconclusiveQueries);
+    BOOST_TEST((decision.action == StallAction::Replace));
+    BOOST_TEST(decision.diagnosis.stage == 1u);
+    BOOST_TEST(inconclusiveQueries == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(stages_that_wait_for_each_other_are_renewed)
+BOOST_AUTO_TEST_CASE(stages_that_wait_for_each_other_get_a_new_attempt)
 {
     const StageProgress fine{10, 10, 10, true};
     const Reports idle{fine, fine, fine};
-    std::uint32_t idleQueries = 0;
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Wait));
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Renew));
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Wait));
+    std::uint32_t inconclusiveQueries = 0;
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Wait));
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Renew));
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Wait));
 }
 
-BOOST_AUTO_TEST_CASE(late_ticks_show_that_the_process_stood_still)
+BOOST_AUTO_TEST_CASE(late_ticks_reveal_a_process_pause)
 {
     const milliseconds interval(50);
-    BOOST_TEST(stallBefore({}, start, interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(50), interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(100), interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(1600), interval).count() == 1500);
+    BOOST_TEST(processPauseBefore({}, start, interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(50), interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(100), interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(1600), interval).count() == 1500);
     // What was heard in the turn that ends the stall gets no credit: its silence counts from then on.
     const TimePoint now = start + milliseconds(1600);
-    BOOST_TEST((creditStall(start, milliseconds(1500), now) == start + milliseconds(1500)));
-    BOOST_TEST((creditStall(now, milliseconds(1500), now) == now));
+    BOOST_TEST((creditProcessPause(start, milliseconds(1500), now) == start + milliseconds(1500)));
+    BOOST_TEST((creditProcessPause(now, milliseconds(1500), now) == now));
 }
 
-BOOST_AUTO_TEST_CASE(timeouts_follow_what_is_usual)
+BOOST_AUTO_TEST_CASE(timeouts_adapt_to_observed_times)
 {
     TimeEstimate estimate;
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) == milliseconds(5000)));
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) == milliseconds(5000)));
     for (int i = 0; i < 100; ++i) {
-        noteTime(estimate, 0.2);
+        recordTime(estimate, 0.2);
     }
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) < milliseconds(260)));
-    noteTime(estimate, 1.0);
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) > milliseconds(800)));
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) < milliseconds(260)));
+    recordTime(estimate, 1.0);
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) > milliseconds(800)));
 }
 
 BOOST_AUTO_TEST_CASE(retries_stay_within_their_share)
@@ -361,23 +361,23 @@
 
 BOOST_AUTO_TEST_CASE(a_circuit_opens_probes_and_closes)
 {
-    Circuit circuit;
+    CircuitBreaker circuit;
     TimePoint now = start;
     for (int i = 0; i < 2; ++i) {
-        BOOST_TEST(tryPass(circuit, now));
-        BOOST_TEST(!noteFailure(circuit, now));
+        BOOST_TEST(tryAcquireCall(circuit, now));
+        BOOST_TEST(!recordFailure(circuit, now));
     }
-    BOOST_TEST(noteFailure(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now));
+    BOOST_TEST(recordFailure(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now));
     now += circuit.firstPause;
-    BOOST_TEST(tryPass(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now)); // one probe at a time
-    BOOST_TEST(!noteFailure(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now + circuit.firstPause)); // pauses double
+    BOOST_TEST(tryAcquireCall(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now)); // one probe at a time
+    BOOST_TEST(!recordFailure(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now + circuit.firstPause)); // pauses double
     now += circuit.firstPause * 2;
-    BOOST_TEST(tryPass(circuit, now));
-    BOOST_TEST(noteSuccess(circuit));
-    BOOST_TEST(tryPass(circuit, now));
+    BOOST_TEST(tryAcquireCall(circuit, now));
+    BOOST_TEST(recordSuccess(circuit));
+    BOOST_TEST(tryAcquireCall(circuit, now));
 }
 
 BOOST_AUTO_TEST_CASE(a_rate_is_kept)
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -1,5 +1,5 @@
 // The served work, reconciled with what the stand-ins ran and the callers got.
-#include "policy/served_work.h"
+#include "policy/usage.h"
 #include "tests/cluster.h"
 
 #include <boost/test/unit_test.hpp>
@@ -40,17 +40,17 @@
 
 BOOST_AUTO_TEST_CASE(ledgers_sum_by_what_is_asked)
 {
-    WorkLedger ledger;
+    UsageLedger ledger;
     ledger[{1, {"a"}, {"chat"}, {"m"}}] = {3, 1, 0, 6, 30, 60, {{"fast", 3600000000}}};
     ledger[{2, {"a"}, {"book"}, {}}] = {1, 0, 1, 2, 0, 0, {}};
     ledger[{2, {"b"}, {"chat"}, {"m"}}] = {1, 0, 0, 5, 10, 20, {{"fast", 1800000000}, {"slow", 3600000000}}};
-    const auto byWorkspace = summarize(ledger, WorkGrouping::Workspace, {{"fast", 2}, {"slow", 1}});
+    const auto byWorkspace = summarize(ledger, UsageGrouping::Workspace, {{"fast", 2}, {"slow", 1}});
     BOOST_REQUIRE(byWorkspace.size() == 2u);
     BOOST_TEST(byWorkspace[0].counters.answered == 4u);
     BOOST_TEST(byWorkspace[0].counters.worth == 8);
     BOOST_TEST(byWorkspace[0].cost == 2);
     BOOST_TEST(byWorkspace[1].cost == 2);
-    BOOST_TEST(summarize(ledger, WorkGrouping::Service, {})[1].counters.answered == 4u);
+    BOOST_TEST(summarize(ledger, UsageGrouping::Service, {})[1].counters.answered == 4u);
 }
 
 BOOST_AUTO_TEST_CASE(the_report_agrees_with_what_was_run)
