--- a/src/policy/chain.cpp
+++ b/src/policy/chain.cpp
@@ -22,7 +22,7 @@
     return holdsAdapter && !isExcluded;
 }
 
-/// The better of two random members.
+/// Picks two members at random and returns the one with the lower expected time.
 static std::size_t selectOfTwo(const std::vector<const TargetView *> &targets, const std::vector<std::size_t> &members, TimePoint now, std::mt19937_64 &random)
 {
     std::uniform_int_distribution<std::size_t> any(0, members.size() - 1);
@@ -31,23 +31,23 @@
     return expectedMicros(*targets[a], now) <= expectedMicros(*targets[b], now) ? a : b;
 }
 
-/// Cheapest way that ends with one target.
+/// Cheapest path from the entry to one candidate.
 struct Path {
     double cost = std::numeric_limits<double>::infinity(); ///< microseconds
-    std::size_t previous = 0;                              ///< candidate before it; itself for a first stage
+    std::size_t previous = 0;                              ///< index of the preceding candidate; the candidate's own index for a first stage
 };
 
 std::vector<std::size_t> selectChain(const std::vector<const TargetView *> &targets, const ModelRequirements &requirements, const ChainOptions &options,
                                      TimePoint now, std::mt19937_64 &random)
 {
-    std::map<Range, std::map<std::string, std::vector<std::size_t>>> holders; // by range, then data centre
+    std::map<Range, std::map<std::string, std::vector<std::size_t>>> holders; // by layer range, then data centre
     for (std::size_t i = 0; i < targets.size(); ++i) {
         if (isUsable(*targets[i], requirements, now, options.excluded)) {
             const Announcement &last = targets[i]->last;
             holders[{last.layerBegin, last.layerEnd}][last.dataCenter].push_back(i);
         }
     }
-    // Candidates in order of their first layer: each way to a candidate is final before it is extended.
+    // Candidates are sorted by their first layer, so that the cheapest path to a candidate is final before it is extended.
     std::vector<std::size_t> candidates;
     for (const auto &[range, byDataCenter] : holders) {
         for (const auto &[dataCenter, members] : byDataCenter) {
--- a/src/policy/chain.h
+++ b/src/policy/chain.h
@@ -1,4 +1,4 @@
-// Choosing the chain of targets that together hold all layers of a model, and replacing one stage of it.
+// Chain selection: finds targets that together cover all layers of a model, or a replacement for one stage.
 //
 // Pure: targets, time and randomness are passed in.
 #pragma once
@@ -11,32 +11,34 @@
 namespace Parsleytrail
 {
 
-/// What a stream needs of its stages.
+/// What the stages of a stream must hold.
 struct ModelRequirements {
-    ModelName model;          ///< model
-    std::string version;      ///< model version
-    std::string adapter;      ///< adapter, or empty
-    std::uint32_t layers = 0; ///< layers of the model
+    ModelName model;
+    std::string version;      ///< version of the model
+    std::string adapter;      ///< empty: none needed
+    std::uint32_t layers = 0; ///< number of layers of the model
 };
 
-/// How a chain is chosen.
+/// Parameters of the selection.
 struct ChainOptions {
-    std::string dataCenter;                       ///< of the entry: the first and last stage are best near it
-    double crossDataCenterMicros = 500;           ///< price of a hop to another data centre
-    const std::set<TargetId> *excluded = nullptr; ///< targets that failed this stream; may be null
+    std::string dataCenter;                       ///< of the entry, which exchanges data with the first and the last stage
+    double crossDataCenterMicros = 500;           ///< cost of a hop to another data centre, in microseconds
+    const std::set<TargetId> *excluded = nullptr; ///< targets that failed this stream before; may be null
 };
 
-/// Whether the target holds what the stream needs and takes new work.
+/// Whether the target holds the model, version and adapter, accepts new work and is not in `excluded`, which may be null.
 bool isUsable(const TargetView &target, const ModelRequirements &requirements, TimePoint now, const std::set<TargetId> *excluded);
 
-/// Indices into `targets` of the stages in layer order; empty if the layers can't be covered.
+/// Selects a chain: indices into `targets` in layer order, or an empty list if the layers can't all be covered.
 ///
-/// For each layer range the better of two random holders is taken, so that entries with the same stale reports do not
-/// all choose the same one; then the cheapest way through the ranges, where a hop to another data centre costs extra.
+/// For each layer range in each data centre, the better of two random holders becomes the candidate, so that entries that
+/// work from the same stale reports do not all pick the same target. The chain is the cheapest path through the candidates'
+/// layer ranges, where a hop to another data centre costs extra.
 std::vector<std::size_t> selectChain(const std::vector<const TargetView *> &targets, const ModelRequirements &requirements, const ChainOptions &options,
                                      TimePoint now, std::mt19937_64 &random);
 
-/// Index of a holder of exactly [begin, end) for a stream whose other stages stay; targets.size() if there is none.
+/// Selects a replacement for one stage of a stream whose other stages stay in place: the index of a usable target that holds
+/// exactly the layers [begin, end), preferably in `options.dataCenter`, or targets.size() if there is none.
 std::size_t selectReplacement(const std::vector<const TargetView *> &targets, const ModelRequirements &requirements, std::uint32_t begin, std::uint32_t end,
                               const ChainOptions &options, TimePoint now, std::mt19937_64 &random);
 
--- a/src/policy/circuit_breaker.h
+++ b/src/policy/circuit_breaker.h
@@ -1,4 +1,4 @@
-// Circuit breaker: stops calling a peer that fails, and probes it now and then.
+// Circuit breaker: stops calls to a failing peer and probes it after growing pauses until it recovers.
 //
 // Pure: the caller passes the time in.
 #pragma once
@@ -10,25 +10,25 @@
 namespace Parsleytrail
 {
 
-/// Settings and state of a circuit.
+/// Settings and state of one circuit breaker.
 struct CircuitBreaker {
-    std::uint32_t failuresToOpen = 3; ///< consecutive failures that open it
+    std::uint32_t failuresToOpen = 3; ///< consecutive failures that open the circuit
     milliseconds firstPause{500};     ///< pause before the first probe
-    milliseconds longestPause{10000}; ///< pauses double up to this
+    milliseconds longestPause{10000}; ///< the pause doubles with each failed probe, up to this value
 
-    std::uint32_t failures = 0; ///< consecutive failures so far
-    milliseconds pause{0};      ///< current pause; 0 while closed
-    TimePoint probeAt{};        ///< when the next probe may go out
-    bool isProbing = false;     ///< a probe is on its way
+    std::uint32_t failures = 0; ///< consecutive failures since the last success
+    milliseconds pause{0};      ///< pause before the next probe; 0 while the circuit is closed
+    TimePoint probeAt{};        ///< earliest time of the next probe
+    bool isProbing = false;     ///< a probe was sent and has no result yet
 };
 
-/// Whether a call may go out now. While the circuit is open only one probe goes out after each pause.
+/// Returns true if a call may be made now. While the circuit is open, only one call, the probe, is allowed after each pause.
 bool tryAcquireCall(CircuitBreaker &circuit, TimePoint now);
-/// A call succeeded. Returns true if this closed the circuit.
+/// Records a successful call. Returns true if this closed the circuit.
 bool recordSuccess(CircuitBreaker &circuit);
-/// A call failed. Returns true if this opened the circuit.
+/// Records a failed call. Returns true if this opened the circuit.
 bool recordFailure(CircuitBreaker &circuit, TimePoint now);
-/// Whether calls are being refused.
+/// Whether calls other than probes are refused.
 bool isOpen(const CircuitBreaker &circuit);
 
 } // namespace Parsleytrail
--- a/src/policy/configuration.cpp
+++ b/src/policy/configuration.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Parsing, [SECTION] Checking, [SECTION] Comparing, [SECTION] Updates, [SECTION] Marks
+// Index: [SECTION] Parsing, [SECTION] Validation, [SECTION] Comparison, [SECTION] Updates, [SECTION] Idempotency
 #include "policy/configuration.h"
 
 #include "base/digest.h"
@@ -17,7 +17,7 @@
 constexpr std::string_view workspacePrefix = "workspace.";
 constexpr std::size_t maxConfigurationName = 128;
 
-/// "service.chat" into "service" and "chat"; an empty name if there is no dot.
+/// Splits "service.chat" into "service" and "chat"; the name is empty if there is no dot.
 static std::pair<std::string_view, std::string_view> splitName(std::string_view section)
 {
     const std::size_t dot = section.find('.');
@@ -71,9 +71,9 @@
     return sha256Hex(text);
 }
 
-// [SECTION] Checking
+// [SECTION] Validation
 
-/// Lines of keys, so that problems found across sections can name them.
+/// Line of a key in the file, or of its section if the section lacks the key, for problems found across sections.
 struct LineLookup {
     const IniFile &file;
 
@@ -156,8 +156,8 @@
         }
         const auto [other, isNew] = configuration.workspaceByKeyDigest.emplace(digest, name);
         if (!isNew) {
-            problems.push_back(
-                {section, "key-digests", line(section, "key-digests"), absl::StrCat("expected a key of its own; workspace ", other->second, " has the same")});
+            problems.push_back({section, "key-digests", line(section, "key-digests"),
+                                absl::StrCat("expected a key digest that no other workspace has; workspace ", other->second, " has it too")});
         }
     }
 }
@@ -197,7 +197,7 @@
     return text;
 }
 
-// [SECTION] Comparing
+// [SECTION] Comparison
 
 std::vector<SectionDifference> compareConfigurations(const Configuration &from, const Configuration &to)
 {
@@ -230,7 +230,7 @@
     for (SectionDifference &difference : compareConfigurations(from, to)) {
         change.changedSections.push_back(std::move(difference.name));
     }
-    // A step over several versions (taken whole from a peer) still tells what differs from `from`.
+    // A step may skip versions when a full update came from a peer; its changes are still relative to `from`.
     if (log.changes.empty()) {
         log.changes.push_back({from.version, {}});
     }
@@ -240,7 +240,7 @@
     }
 }
 
-/// Names touched since a version, or nothing if the log does not hold that version.
+/// Names of sections changed since a version, or nothing if the log does not hold that version.
 static std::optional<std::set<std::string>> sectionsChangedSince(const ConfigurationLog &log, ConfigurationVersion known)
 {
     const auto base = std::find_if(log.changes.begin(), log.changes.end(), [known](const ConfigurationLog::Change &change) {
@@ -308,8 +308,8 @@
     }
 }
 
-/// Adds a section from its text. A process of a newer version may send keys that this one does not know, so that problems
-/// are not asked for: the file was checked where it was accepted, and the digest vouches that this is the same one.
+/// Adds a section from its text. Problems are ignored, since a sender of a newer software version may use keys that this one
+/// does not know. The file was validated where it was accepted, and the digest proves that this is the same text.
 static void putSection(Configuration &configuration, const std::string &text)
 {
     std::vector<IniProblem> problems;
@@ -337,8 +337,8 @@
     if (!isFull && update.baseVersion != current.version) {
         return UpdateResult::BaseMismatch;
     }
-    // Only what changed is parsed: with thousands of workspaces the whole file takes tens of milliseconds, during which
-    // this process would send no token.
+    // Only the changed sections are parsed: with thousands of workspaces, parsing the complete file takes tens of
+    // milliseconds, during which this process would send no token.
     result = isFull ? Configuration() : current;
     for (const std::string &name : update.removed) {
         removeSection(result, name);
@@ -355,7 +355,7 @@
     return UpdateResult::Applied;
 }
 
-// [SECTION] Marks
+// [SECTION] Idempotency
 
 bool isNonIdempotent(const ServiceSection &service, std::string_view method, std::string_view path)
 {
--- a/src/policy/progress.cpp
+++ b/src/policy/progress.cpp
@@ -6,8 +6,8 @@
 namespace Parsleytrail
 {
 
-constexpr double meanGain = 1.0 / 8;
-constexpr double deviationGain = 1.0 / 4;
+constexpr double meanGain = 1.0 / 8;      ///< alpha of RFC 6298
+constexpr double deviationGain = 1.0 / 4; ///< beta of RFC 6298
 
 void recordTime(TimeEstimate &estimate, double seconds)
 {
@@ -71,8 +71,9 @@
         }
     }
     for (std::uint32_t i = 0; i < stages.size(); ++i) {
-        // Under load a stream may wait for many others: an engine taken for stuck then hands its streams to the next one,
-        // which gets slower for it, until none is left. An engine that hangs ends no steps.
+        // Under load, inputs may be queued behind many other streams. If that counted as a fault, a busy engine's streams
+        // would move to the next engine, which would become slower and lose its streams too, until no engine is left. An
+        // engine that hangs completes no steps.
         if (hasPendingInputs(*stages[i]) && !stages[i]->isEngineMoving) {
             return StageDiagnosis{i, StageFault::InputsNotApplied};
         }
@@ -85,7 +86,8 @@
     return std::nullopt;
 }
 
-/// Whether inputs of the stream wait for their turn at an engine that ends steps: then no frame is missing.
+/// Whether inputs of the stream are queued at an engine that completes steps: the stream then waits for that engine, not for a
+/// lost frame.
 static bool isQueuedAtEngine(const std::vector<std::optional<StageProgress>> &stages)
 {
     return std::any_of(stages.begin(), stages.end(), [](const std::optional<StageProgress> &stage) {
@@ -96,8 +98,8 @@
 StallDecision decideStallAction(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &inconclusiveQueries)
 {
     const std::optional<StageDiagnosis> diagnosis = findFaultyStage(stages);
-    // Stages answer at different times: a frame on its way between two of them looks lost. Asked again, and after a renewal
-    // on the same chain, only one that is lost still does.
+    // Stages report at different times, so that a frame in transit between two of them looks lost. Only one that is really
+    // lost still looks so in a second query and after a new attempt on the same chain.
     const bool isFrameMissing = diagnosis && diagnosis->fault == StageFault::InputsNotReceived;
     const bool mayBeOnItsWay = isFrameMissing && inconclusiveQueries < inconclusiveQueriesToRenew;
     if (diagnosis && !mayBeOnItsWay) {
@@ -111,7 +113,7 @@
     if (inconclusiveQueries < inconclusiveQueriesToRenew) {
         return {StallAction::Wait, {}};
     }
-    // All stages wait for each other, or one for a frame that was lost with its link.
+    // Either all stages wait for each other, or a frame was lost together with its link.
     if (!isFrameMissing) {
         inconclusiveQueries = 0;
     }
--- a/src/policy/progress.h
+++ b/src/policy/progress.h
@@ -1,4 +1,4 @@
-// Noticing that a stream stands still, and finding the stage at fault.
+// Adaptive timeouts, detection of stalled streams and diagnosis of the faulty stage.
 #pragma once
 
 #include "base/clock.h"
@@ -10,61 +10,64 @@
 namespace Parsleytrail
 {
 
-/// Smoothed mean and deviation of a time, as TCP keeps them for its retransmission timer (RFC 6298).
+/// Smoothed mean and mean deviation of a duration, as in TCP's retransmission timer (RFC 6298).
 struct TimeEstimate {
-    double meanSeconds = 0;      ///< 0: nothing seen
-    double deviationSeconds = 0; ///< mean deviation
+    double meanSeconds = 0;      ///< 0: no sample yet
+    double deviationSeconds = 0; ///< smoothed mean deviation
 };
+/// Adds a sample.
 void recordTime(TimeEstimate &estimate, double seconds);
-/// Time after which something is overdue: mean + 4 deviations, within [shortest, longest]; `longest` while nothing was seen.
+/// Timeout derived from the samples: mean + 4 deviations, clamped to [shortest, longest]; `longest` while there is no sample.
 milliseconds adaptiveTimeout(const TimeEstimate &estimate, milliseconds shortest, milliseconds longest);
 
-/// Time for which this process stood still before a tick, beyond what ticks every `interval` may be late; zero before the
-/// first tick. What others sent meanwhile waits to be read, so that it is no sign of their silence.
+/// Time for which this process was paused or its loop was blocked before a tick: the time since the last tick beyond two
+/// intervals; zero before the first tick. Messages that arrived meanwhile are still unread, so that the time must not count
+/// towards the timeouts of their senders.
 milliseconds processPauseBefore(TimePoint lastTick, TimePoint now, milliseconds interval);
-/// When something was last heard, with such a time not counted; never later than now.
+/// Moves a time of last reception forward by such a pause, but never past `now`.
 TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds stall, TimePoint now);
 
-/// Progress of one stage; nothing if it did not answer.
+/// Progress of one stage, as its sidecar reported it.
 struct StageProgress {
     std::uint32_t received = 0;  ///< positions received
     std::uint32_t applied = 0;   ///< positions applied by the engine
-    std::uint32_t sent = 0;      ///< positions passed on
-    bool isKnown = true;         ///< false: the sidecar does not know the stream
-    bool isEngineMoving = false; ///< its engine ends steps: inputs that are not applied wait for their turn
+    std::uint32_t sent = 0;      ///< positions whose results were sent to the next stage
+    bool isKnown = true;         ///< false: the sidecar does not hold the stream
+    bool isEngineMoving = false; ///< its engine completes steps: unapplied inputs are only queued
 };
 
-/// What speaks against a stage.
+/// Why a stage is considered faulty.
 enum class StageFault { NoAnswer, StreamUnknown, InputsNotApplied, InputsNotReceived };
 const char *toString(StageFault fault);
 
 /// The stage to replace, and why.
 struct StageDiagnosis {
-    std::uint32_t stage = 0;                 ///< its place in the chain
-    StageFault fault = StageFault::NoAnswer; ///< what speaks against it
+    std::uint32_t stage = 0;                 ///< index in the chain
+    StageFault fault = StageFault::NoAnswer; ///< why
 };
 
-/// The stage to replace, or nothing if all have done what they could.
+/// Finds the stage to replace; nothing if no stage is at fault. A missing report means that the stage did not answer.
 ///
-/// The first stage that did not answer or lost the stream is at fault; otherwise the first whose engine holds inputs
-/// that it has not applied and ends no steps; otherwise the first that has not received what the stage before it has sent.
+/// At fault is the first stage that did not answer or does not hold the stream; otherwise the first that has unapplied inputs
+/// while its engine completes no steps; otherwise the first that has not received all that the preceding stage has sent.
 std::optional<StageDiagnosis> findFaultyStage(const std::vector<std::optional<StageProgress>> &stages);
 
-/// What to do about a stream that stands still.
+/// What to do about a stalled stream.
 enum class StallAction {
-    Wait,    ///< nothing yet: it is asked about again if it goes on standing still
-    Renew,   ///< a new attempt on the same chain, so that each stage asks for what it lacks
-    Replace, ///< the blamed stage
+    Wait,    ///< do nothing yet; the stages are queried again if the stream stays stalled
+    Renew,   ///< start a new attempt on the same chain, in which each stage requests the inputs that it lacks
+    Replace, ///< replace the stage that the diagnosis names
 };
 struct StallDecision {
-    StallAction action = StallAction::Wait; ///< what to do
-    StageDiagnosis diagnosis;               ///< for Replace
+    StallAction action = StallAction::Wait; ///< step to take
+    StageDiagnosis diagnosis;               ///< valid for Replace only
 };
 
-/// Judges a stream that stands still by its stages' answers. `idleQueries` counts questions in a row about it that found
-/// nobody at fault and no engine at work; it is set back with each replacement here, and by the caller with each token.
+/// Decides what to do about a stalled stream from its stages' reports. `inconclusiveQueries` counts queries that led neither
+/// to a replacement nor to a stage whose engine is working on queued inputs of the stream. It is reset here with each
+/// replacement and with each new attempt for which no frame was missing; the caller resets it with each token.
 StallDecision decideStallAction(const std::vector<std::optional<StageProgress>> &stages, std::uint32_t &inconclusiveQueries);
 
-constexpr std::uint32_t inconclusiveQueriesToRenew = 2; ///< one may have been asked at a bad moment
+constexpr std::uint32_t inconclusiveQueriesToRenew = 2; ///< a single query may have caught frames in transit
 
 } // namespace Parsleytrail
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -1,10 +1,11 @@
-// Inputs that kill the engines that run them.
+// Quarantine of inputs that crash the engines that run them.
 //
-// When an engine dies, every input in flight there is suspect. A suspect's next step at each stage runs alone, so that
-// a second death has one suspect only: it is convicted and refused from then on, at every entry, also when its caller
-// sends it again. Its companions of the first death pass their steps alone and are cleared. So an input costs two
-// targets at most, and no innocent one is refused.
-// Pure: entries tell each other what they note.
+// When an engine crashes, every input in flight there becomes suspect. The next step of a suspect input runs alone at each
+// stage, so that a second crash has only one suspect: that input is quarantined and refused from then on, at every entry,
+// also when its caller sends it again. The other inputs of the first crash complete their steps alone and are cleared. So
+// an input crashes at most two targets, and no harmless input is refused.
+//
+// Pure: no I/O. Entries exchange what they record as notices.
 #pragma once
 
 #include "base/clock.h"
@@ -16,34 +17,36 @@
 namespace Parsleytrail
 {
 
-/// What is held against an input.
+/// Crashes recorded for an input.
 struct Suspicion {
-    std::set<std::uint64_t> crashes; ///< separate deaths at which it was in flight
-    ServiceName service;             ///< it was sent to
-    WorkspaceName workspace;         ///< that sent it
-    RequestId request;               ///< one of the requests
-    TimePoint updatedAt{};           ///< last change
+    std::set<std::uint64_t> crashes; ///< identifiers of the crashes at which the input was in flight
+    ServiceName service;             ///< service that it was sent to
+    WorkspaceName workspace;         ///< workspace that sent it
+    RequestId request;               ///< request reported with the last new crash
+    TimePoint updatedAt{};           ///< when a crash was last added
 };
 
-/// Suspicions of one entry, by fingerprint.
+/// Suspect and quarantined inputs held by one entry, by fingerprint.
 struct Quarantine {
     std::map<std::uint64_t, Suspicion> suspicions;
 };
 
+/// Status of an input. Quarantined inputs are refused.
 enum class InputStatus { Clear, Suspect, Quarantined };
 
 constexpr std::size_t crashesToQuarantine = 2;
-constexpr std::size_t maxSuspicions = 4096;              ///< the oldest unconvicted is dropped beyond it
-constexpr std::chrono::hours suspicionLifetime{1};       ///< an input suspected once and not seen again
-constexpr std::chrono::hours quarantineLifetime{24 * 7}; ///< a convicted input that nobody lifts
+constexpr std::size_t maxSuspicions = 4096;              ///< beyond it, the oldest entry that is not quarantined is dropped
+constexpr std::chrono::hours suspicionLifetime{1};       ///< suspect input without a further crash
+constexpr std::chrono::hours quarantineLifetime{24 * 7}; ///< quarantined input that no operator allows
 
-/// What is known of an input.
+/// Classifies an input by its recorded crashes.
 InputStatus classifyInput(const Quarantine &quarantine, std::uint64_t fingerprint);
-/// Adds what this entry saw or another one told. Returns true if it was news.
+/// Adds crashes that this entry saw or another one reported. Returns true if one of them was new.
 bool recordCrash(Quarantine &quarantine, std::uint64_t fingerprint, const Suspicion &suspicion, TimePoint now);
-/// The input has run past the point at which it was suspected. A convicted one stays so. Returns true if it was news.
+/// Clears a suspect input once it has run past the point at which it became suspect. A quarantined input stays quarantined.
+/// Returns true if the input was suspect.
 bool clearSuspicion(Quarantine &quarantine, std::uint64_t fingerprint);
-/// Drops what is too old.
+/// Drops inputs whose lifetime since their last crash has expired.
 void prune(Quarantine &quarantine, TimePoint now);
 
 } // namespace Parsleytrail
--- a/src/policy/stage_stream.cpp
+++ b/src/policy/stage_stream.cpp
@@ -82,7 +82,8 @@
             ++stream.tokensAccepted;
         }
     }
-    // At a first attempt every stage starts from nothing; later the next stage says what it has.
+    // In the first attempt every stage starts at position 0. In later ones the next stage first requests the position from
+    // which it needs results.
     stream.maySend = stream.isLast || open.attempt == Attempt{1};
     stream.sent = stream.isLast ? static_cast<std::uint32_t>(open.tokens.size()) : 0;
     return true;
@@ -100,7 +101,7 @@
     input.values = std::move(stream.waiting);
     stream.waiting.clear();
     stream.isPromptWaiting = false;
-    // The prompt's own positions are counted once the engine has told how many there are.
+    // The prompt counts as one position here: its real length is known only when the engine reports it.
     stream.inStep = static_cast<std::uint32_t>(input.values.size()) + (input.withPrompt ? 1 : 0);
     return input;
 }
--- a/src/policy/target.cpp
+++ b/src/policy/target.cpp
@@ -21,10 +21,11 @@
 double expectedMicros(const TargetView &target, TimePoint now)
 {
     const double step = target.last.stepMicros > 0 ? target.last.stepMicros : defaultStepMicros;
-    // The report is old by up to an announcement interval; what this entry opened since is counted by itself.
+    // The report is up to one announcement interval old and may lack what this entry opened since, so its own count is the
+    // lower bound.
     const double open = std::max(target.last.streams, target.localOpenCount);
-    // A target that has just joined starts with an empty queue and looks best to every entry at once; without the
-    // ramp they would all send their next requests there.
+    // A target that has just joined has an empty queue and looks best to every entry at once. Without the ramp-up, all of
+    // them would send their next requests there.
     const std::chrono::duration<double> age = now - target.joinedAt;
     const double ramp = std::clamp(age / std::chrono::duration<double>(rampTime), 0.2, 1.0);
     return step * (1 + open + target.last.queued) / ramp;
--- a/src/policy/target.h
+++ b/src/policy/target.h
@@ -1,4 +1,4 @@
-// What an entry knows of a target, as the decisions see it.
+// An entry's view of a target, on which selection and admission decisions are based.
 #pragma once
 
 #include "base/clock.h"
@@ -7,33 +7,35 @@
 namespace Parsleytrail
 {
 
-/// A target of this entry's region.
+/// State of a target in this entry's region.
 struct TargetView {
-    Announcement last;                     ///< newest announcement
-    TimePoint lastReceivedAt{};            ///< when it came
-    TimePoint joinedAt{};                  ///< first announcement of this incarnation
-    bool isTimedOut = false;               ///< nothing heard for silence-timeout
+    Announcement last;                     ///< newest announcement, updated by load reports
+    TimePoint lastReceivedAt{};            ///< when the last announcement or load report arrived
+    TimePoint joinedAt{};                  ///< when the first announcement of this incarnation arrived
+    bool isTimedOut = false;               ///< nothing received for silence-timeout, or its link closed
     bool isLeaving = false;                ///< marked as leaving by the membership list
     std::uint32_t localOpenCount = 0;      ///< streams or calls that this entry has open on it
-    std::uint32_t consecutiveFailures = 0; ///< failures since the last success, as this entry saw them
+    std::uint32_t consecutiveFailures = 0; ///< failures since the last success, as seen by this entry
     TimePoint ejectedUntil{};              ///< gets no new work before this time
 };
 
-/// Names a target's incarnation in load reports.
+/// Key that stands for one incarnation of a target in load reports.
 std::uint64_t targetKeyOf(const TargetId &target, Incarnation incarnation);
-/// Whether the target may get new work at all.
+/// Whether the target is ready and neither timed out, leaving nor ejected.
 bool acceptsNewWork(const TargetView &target, TimePoint now);
-/// Expected time for one more item, in microseconds, from its own report and from what this entry sent since.
+/// Expected time for one more item, in microseconds, from the target's own report and the work that this entry has open on it.
 double expectedMicros(const TargetView &target, TimePoint now);
 
-/// A failure at the target was seen. Ejects it for a while, longer each time in a row, but never so many that less than
-/// half of the `alive` targets remain: a fault that is not theirs would eject them all.
+/// Records a failure and ejects the target for a time that doubles with each consecutive failure. The target is not ejected
+/// if less than half of the `alive` targets would remain, with `ejected` of them ejected already: otherwise a fault that is not
+/// the targets' own would eject all of them.
 void recordTargetFailure(TargetView &target, TimePoint now, std::size_t ejected, std::size_t alive);
+/// Resets the consecutive failures; an ejection runs until its end.
 void recordTargetSuccess(TargetView &target);
 
-constexpr milliseconds baseEjectionTime{500}; ///< doubles with each failure in a row
+constexpr milliseconds baseEjectionTime{500}; ///< doubles with each consecutive failure
 constexpr milliseconds maxEjectionTime{15000};
-constexpr milliseconds rampTime{5000};            ///< a target that joined gets its full share after this time
-constexpr std::uint32_t defaultStepMicros = 2000; ///< for a target that has not reported a step yet
+constexpr milliseconds rampTime{5000};            ///< a target gets its full share of work this long after it joined
+constexpr std::uint32_t defaultStepMicros = 2000; ///< assumed for a target that has not reported a step time yet
 
 } // namespace Parsleytrail
