--- a/src/policy/circuit_breaker.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -39,7 +39,7 @@
     if (circuit.failures < circuit.failuresToOpen) {
         return false;
     }
-    circuit.pause = wasOpen ? std::min(circuit.pause * 2, circuit.longestPause) : circuit.firstPause;
+    circuit.pause = wasOpen ? std::min(circuit.pause * 2, circuit.maxPause) : circuit.initialPause;
     circuit.probeAt = now + circuit.pause;
     return !wasOpen;
 }
--- a/src/policy/circuit_breaker.h
+++ b/src/policy/circuit_breaker.h
@@ -13,8 +13,8 @@
 /// Settings and state of one circuit breaker.
 struct CircuitBreaker {
     std::uint32_t failuresToOpen = 3; ///< consecutive failures that open the circuit
-    milliseconds firstPause{500};     ///< pause before the first probe
-    milliseconds longestPause{10000}; ///< the pause doubles with each failed probe, up to this value
+    milliseconds initialPause{500};   ///< pause before the first probe
+    milliseconds maxPause{10000};     ///< the pause doubles with each failed probe, up to this value
 
     std::uint32_t failures = 0; ///< consecutive failures since the last success
     milliseconds pause{0};      ///< pause before the next probe; 0 while the circuit is closed
--- a/src/policy/progress.cpp
+++ b/src/policy/progress.cpp
@@ -38,9 +38,9 @@
     return std::max(milliseconds(0), std::chrono::duration_cast<milliseconds>(now - lastTick) - 2 * interval);
 }
 
-TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds stall, TimePoint now)
+TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds pause, TimePoint now)
 {
-    return std::min(lastReceivedAt + stall, now);
+    return std::min(lastReceivedAt + pause, now);
 }
 
 const char *toString(StageFault fault)
--- a/src/policy/progress.h
+++ b/src/policy/progress.h
@@ -25,7 +25,7 @@
 /// towards the timeouts of their senders.
 milliseconds processPauseBefore(TimePoint lastTick, TimePoint now, milliseconds interval);
 /// Moves a time of last reception forward by such a pause, but never past `now`.
-TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds stall, TimePoint now);
+TimePoint creditProcessPause(TimePoint lastReceivedAt, milliseconds pause, TimePoint now);
 
 /// Progress of one stage, as its sidecar reported it.
 struct StageProgress {
--- a/src/policy/quarantine.cpp
+++ b/src/policy/quarantine.cpp
@@ -38,16 +38,16 @@
     if (isNew && quarantine.suspicions.size() >= maxSuspicions) {
         dropOldest(quarantine);
     }
-    Suspicion &known = quarantine.suspicions[fingerprint];
-    const std::size_t before = known.crashes.size();
-    known.crashes.insert(suspicion.crashes.begin(), suspicion.crashes.end());
-    if (known.crashes.size() == before) {
+    Suspicion &recorded = quarantine.suspicions[fingerprint];
+    const std::size_t before = recorded.crashes.size();
+    recorded.crashes.insert(suspicion.crashes.begin(), suspicion.crashes.end());
+    if (recorded.crashes.size() == before) {
         return false;
     }
-    known.service = suspicion.service;
-    known.workspace = suspicion.workspace;
-    known.request = suspicion.request;
-    known.updatedAt = now;
+    recorded.service = suspicion.service;
+    recorded.workspace = suspicion.workspace;
+    recorded.request = suspicion.request;
+    recorded.updatedAt = now;
     return true;
 }
 
@@ -64,8 +64,8 @@
 void prune(Quarantine &quarantine, TimePoint now)
 {
     std::erase_if(quarantine.suspicions, [now](const auto &item) {
-        const auto life = isQuarantined(item.second) ? quarantineLifetime : suspicionLifetime;
-        return now - item.second.updatedAt >= life;
+        const auto lifetime = isQuarantined(item.second) ? quarantineLifetime : suspicionLifetime;
+        return now - item.second.updatedAt >= lifetime;
     });
 }
 
--- a/src/policy/target.cpp
+++ b/src/policy/target.cpp
@@ -27,7 +27,7 @@
     // A target that has just joined has an empty queue and looks best to every entry at once. Without the ramp-up, all of
     // them would send their next requests there.
     const std::chrono::duration<double> age = now - target.joinedAt;
-    const double ramp = std::clamp(age / std::chrono::duration<double>(rampTime), 0.2, 1.0);
+    const double ramp = std::clamp(age / std::chrono::duration<double>(rampUpTime), 0.2, 1.0);
     return step * (1 + open + target.last.queued) / ramp;
 }
 
--- a/src/policy/target.h
+++ b/src/policy/target.h
@@ -35,7 +35,7 @@
 
 constexpr milliseconds baseEjectionTime{500}; ///< doubles with each consecutive failure
 constexpr milliseconds maxEjectionTime{15000};
-constexpr milliseconds rampTime{5000};            ///< a target gets its full share of work this long after it joined
+constexpr milliseconds rampUpTime{5000};          ///< a target gets its full share of work this long after it joined
 constexpr std::uint32_t defaultStepMicros = 2000; ///< assumed for a target that has not reported a step time yet
 
 } // namespace Parsleytrail
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -109,7 +109,7 @@
     BOOST_TEST(problems.size() == 5u); // kind, flavour, layers, versions missing, odd section
 }
 
-BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_cut)
+BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_truncated)
 {
     // inih would take the first bytes of the line as a value and the rest as another line.
     const std::vector<IniProblem> problems = problemsOf(usualConfiguration() + "[service.x]\nkind = plain\nmodel = " + std::string(20000, 'm') + "\n");
@@ -117,7 +117,7 @@
     BOOST_TEST(problems[0].text.find("bytes in a line") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_long_line_is_read_whole)
+BOOST_AUTO_TEST_CASE(a_long_line_is_read_completely)
 {
     // inih's own buffer holds 200 bytes: a workspace with three keys was refused.
     std::string digests;
@@ -139,7 +139,7 @@
     BOOST_TEST(parse(configurationText(a)).digest == a.digest);
 }
 
-BOOST_AUTO_TEST_CASE(updates_carry_only_what_changed_and_never_go_back)
+BOOST_AUTO_TEST_CASE(updates_carry_only_changes_and_never_go_back)
 {
     Configuration first = parse(usualConfiguration());
     first.version.value = 1;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -19,7 +19,7 @@
 constexpr TimePoint start{std::chrono::hours(1)};
 
 /// A target that holds a range of model m.
-TargetView holder(const std::string &id, std::uint32_t begin, std::uint32_t end, const std::string &dataCenter = "dc-0")
+TargetView makeHolder(const std::string &id, std::uint32_t begin, std::uint32_t end, const std::string &dataCenter = "dc-0")
 {
     TargetView view;
     view.last.target.value = id;
@@ -47,7 +47,7 @@
 
 const ModelRequirements requirements{{"m"}, "v1", "", 30};
 
-OpenStage openFor(std::uint32_t attempt, std::uint32_t stage, std::uint32_t stages)
+OpenStage makeOpenStage(std::uint32_t attempt, std::uint32_t stage, std::uint32_t stages)
 {
     OpenStage open;
     open.request.value = "r";
@@ -72,14 +72,14 @@
     // its engine is always the next positions, each with the value that belongs to it.
     const bool isRight = rc::check([] {
         StageStream stream;
-        openAttempt(stream, openFor(1, 1, 3));
+        openAttempt(stream, makeOpenStage(1, 1, 3));
         std::uint32_t attempt = 1;
         std::vector<std::uint64_t> applied;
         const auto steps = *rc::gen::inRange(1, 60);
         for (int i = 0; i < steps; ++i) {
             const auto action = *rc::gen::inRange(0, 10);
             if (action == 0) {
-                openAttempt(stream, openFor(++attempt, 1, 3));
+                openAttempt(stream, makeOpenStage(++attempt, 1, 3));
                 continue;
             }
             ActivationFrame frame;
@@ -115,15 +115,15 @@
 BOOST_AUTO_TEST_CASE(a_new_attempt_resends_results_from_the_requested_position)
 {
     StageStream stream;
-    openAttempt(stream, openFor(1, 0, 3));
+    openAttempt(stream, makeOpenStage(1, 0, 3));
     endStep(stream, 4, 4, {10, 11, 12, 13});
     BOOST_TEST(consumeResults(stream).size() == 4u);
     BOOST_TEST(consumeResults(stream).empty());
-    BOOST_TEST(openAttempt(stream, openFor(2, 0, 3)));
+    BOOST_TEST(openAttempt(stream, makeOpenStage(2, 0, 3)));
     BOOST_TEST(consumeResults(stream).empty()); // nobody has asked yet
     BOOST_TEST(resumeFrom(stream, 2));
     BOOST_TEST((consumeResults(stream) == std::vector<std::uint64_t>{12, 13}));
-    BOOST_TEST(!openAttempt(stream, openFor(2, 0, 3))); // not newer
+    BOOST_TEST(!openAttempt(stream, makeOpenStage(2, 0, 3))); // not newer
     BOOST_TEST(dropKeptResults(stream) == 4 * sizeof(std::uint64_t));
     BOOST_TEST(!resumeFrom(stream, 2));
     BOOST_TEST(resumeFrom(stream, 4));
@@ -132,7 +132,7 @@
 BOOST_AUTO_TEST_CASE(the_last_stage_detects_a_token_that_differs_from_the_one_sent)
 {
     StageStream stream;
-    OpenStage open = openFor(2, 2, 3);
+    OpenStage open = makeOpenStage(2, 2, 3);
     open.tokens = {7, 8};
     openAttempt(stream, open);
     BOOST_TEST(recordToken(stream, {7, "a", FinishReason::None}, open.tokens));
@@ -152,7 +152,7 @@
         for (int i = 0; i < count; ++i) {
             const auto begin = *rc::gen::inRange<std::uint32_t>(0, 3) * 10;
             const auto length = (1 + *rc::gen::inRange<std::uint32_t>(0, 2)) * 10;
-            views.push_back(holder("t" + std::to_string(i), begin, std::min(begin + length, 30u), "dc-" + std::to_string(*rc::gen::inRange(0, 3))));
+            views.push_back(makeHolder("t" + std::to_string(i), begin, std::min(begin + length, 30u), "dc-" + std::to_string(*rc::gen::inRange(0, 3))));
             views.back().isTimedOut = *rc::gen::inRange(0, 5) == 0;
         }
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
@@ -184,7 +184,7 @@
     std::vector<TargetView> views;
     for (const char *dataCenter : {"dc-0", "dc-1"}) {
         for (std::uint32_t range = 0; range < 3; ++range) {
-            views.push_back(holder(std::string(dataCenter) + std::to_string(range), range * 10, range * 10 + 10, dataCenter));
+            views.push_back(makeHolder(std::string(dataCenter) + std::to_string(range), range * 10, range * 10 + 10, dataCenter));
         }
     }
     std::mt19937_64 random(1);
@@ -204,7 +204,7 @@
     // choices it gets about a fifth.
     std::vector<TargetView> views;
     for (int i = 0; i < 10; ++i) {
-        views.push_back(holder("t" + std::to_string(i), 0, 30));
+        views.push_back(makeHolder("t" + std::to_string(i), 0, 30));
         views.back().last.streams = i == 0 ? 9 : 10;
     }
     std::mt19937_64 random(7);
@@ -221,7 +221,7 @@
     std::vector<TargetView> views;
     views.reserve(5);
     for (int i = 0; i < 5; ++i) {
-        views.push_back(holder("t" + std::to_string(i), 0, 30));
+        views.push_back(makeHolder("t" + std::to_string(i), 0, 30));
     }
     std::size_t ejected = 0;
     for (TargetView &view : views) {
@@ -237,11 +237,11 @@
 
 BOOST_AUTO_TEST_CASE(a_target_that_joins_ramps_up)
 {
-    TargetView fresh = holder("t", 0, 30);
+    TargetView fresh = makeHolder("t", 0, 30);
     fresh.joinedAt = start;
-    const TargetView old = holder("u", 0, 30);
+    const TargetView old = makeHolder("u", 0, 30);
     BOOST_TEST(expectedMicros(fresh, start) > 4 * expectedMicros(old, start));
-    BOOST_TEST(expectedMicros(fresh, start + rampTime) == expectedMicros(old, start));
+    BOOST_TEST(expectedMicros(fresh, start + rampUpTime) == expectedMicros(old, start));
 }
 
 // [SECTION] Progress, budgets, circuits
@@ -369,18 +369,18 @@
     }
     BOOST_TEST(recordFailure(circuit, now));
     BOOST_TEST(!tryAcquireCall(circuit, now));
-    now += circuit.firstPause;
+    now += circuit.initialPause;
     BOOST_TEST(tryAcquireCall(circuit, now));
     BOOST_TEST(!tryAcquireCall(circuit, now)); // one probe at a time
     BOOST_TEST(!recordFailure(circuit, now));
-    BOOST_TEST(!tryAcquireCall(circuit, now + circuit.firstPause)); // pauses double
-    now += circuit.firstPause * 2;
+    BOOST_TEST(!tryAcquireCall(circuit, now + circuit.initialPause)); // pauses double
+    now += circuit.initialPause * 2;
     BOOST_TEST(tryAcquireCall(circuit, now));
     BOOST_TEST(recordSuccess(circuit));
     BOOST_TEST(tryAcquireCall(circuit, now));
 }
 
-BOOST_AUTO_TEST_CASE(a_rate_is_kept)
+BOOST_AUTO_TEST_CASE(the_rate_limit_is_kept)
 {
     RateBudget budget{10, 5, 0, {}};
     int taken = 0;
@@ -391,7 +391,7 @@
     BOOST_TEST(taken <= 106);
 }
 
-BOOST_AUTO_TEST_CASE(rendezvous_moves_few_when_one_leaves)
+BOOST_AUTO_TEST_CASE(rendezvous_moves_few_members_when_a_peer_leaves)
 {
     std::vector<std::string> entries;
     entries.reserve(20);
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -69,7 +69,7 @@
     BOOST_TEST((classifyInput(quarantine, 7) == InputStatus::Clear));
 }
 
-BOOST_AUTO_TEST_CASE(a_deadly_input_costs_two_engines_and_no_companion)
+BOOST_AUTO_TEST_CASE(a_crashing_input_costs_two_engines_and_no_other_input)
 {
     // Twenty answers run when one caller sends an input that kills the first stage's engine. All that were in flight are
     // suspect; each runs its next step alone. The deadly one kills a second engine, alone there, and is refused. The
@@ -86,12 +86,12 @@
             return answer->events >= 3;
         });
     });
-    const AnswerPtr deadly = cluster.ask(crashInput, 10);
+    const AnswerPtr crashing = cluster.ask(crashInput, 10);
     cluster.wait("the refusal", [&] {
-        return deadly->isOver;
+        return crashing->isOver;
     });
-    BOOST_TEST(deadly->status == 422);
-    BOOST_TEST(findHeader(deadly->headers, "parsley-outcome") == "unknown");
+    BOOST_TEST(crashing->status == 422);
+    BOOST_TEST(findHeader(crashing->headers, "parsley-outcome") == "unknown");
     BOOST_TEST(countCrashedEngines(cluster) == 2u);
     for (std::size_t i = 0; i < answers.size(); ++i) {
         cluster.wait("an answer", [&] {
