--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,4 +1,5 @@
-// The operators' files: all errors at once, one order for everyone, and never back to an older one.
+// The configuration file that operators apply: all errors are reported at once, all processes apply versions in the same order,
+// and no process goes back to an older version.
 #include "base/digest.h"
 #include "policy/configuration.h"
 #include "tests/cluster.h"
@@ -34,15 +35,15 @@
     return problems;
 }
 
-/// The usual file with one more target class.
+/// The usual configuration with one more target class.
 std::string withTargetClass(const std::string &name)
 {
     return usualConfiguration("[target-class." + name + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
 }
 
-/// A bad text and where its only problem must be found.
+/// An invalid text and the section and key that a problem must name.
 struct InvalidText {
-    std::string text;    ///< appended to the usual file
+    std::string text;    ///< appended to the usual configuration
     std::string section; ///< named by the problem
     std::string key;     ///< named by the problem
 };
@@ -111,7 +112,7 @@
 
 BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_truncated)
 {
-    // inih would take the first bytes of the line as a value and the rest as another line.
+    // inih would parse the first bytes of the line as a value and the remainder as another line.
     const std::vector<IniProblem> problems = problemsOf(usualConfiguration() + "[service.x]\nkind = plain\nmodel = " + std::string(20000, 'm') + "\n");
     BOOST_REQUIRE(problems.size() == 1u);
     BOOST_TEST(problems[0].text.find("bytes in a line") != std::string::npos);
@@ -119,7 +120,7 @@
 
 BOOST_AUTO_TEST_CASE(a_long_line_is_read_completely)
 {
-    // inih's own buffer holds 200 bytes: a workspace with three keys was refused.
+    // With inih's own buffer of 200 bytes, a workspace with three key digests was refused.
     std::string digests;
     for (int i = 0; i < 40; ++i) {
         digests += (i > 0 ? ", " : "") + sha256Hex("key " + std::to_string(i));
@@ -171,14 +172,14 @@
     BOOST_TEST((applyUpdate(before, makeUpdate(after, keys, before.version, SectionScope::All), result) == UpdateResult::Applied));
     BOOST_TEST(result.workspaceByKeyDigest == after.workspaceByKeyDigest);
     BOOST_TEST(result.workspaces.size() == after.workspaces.size());
-    // Late, doubled and out of order
+    // Late, duplicated and out-of-order updates
     BOOST_TEST((applyUpdate(third, toSecond, result) == UpdateResult::NotNewer));
     BOOST_TEST((applyUpdate(third, toThird, result) == UpdateResult::NotNewer));
     BOOST_TEST((applyUpdate(first, toThird, result) == UpdateResult::BaseMismatch));
-    // Whole for who knows nothing, or a version that the log has forgotten
+    // Full updates for a receiver without a configuration, or with a version that the log no longer holds
     BOOST_TEST((applyUpdate({}, makeUpdate(third, log, {}, SectionScope::All), result) == UpdateResult::Applied));
     BOOST_TEST((makeUpdate(third, log, {77}, SectionScope::All).baseVersion == ConfigurationVersion{}));
-    // Damaged on the way
+    // An update that was damaged in transit
     ConfigurationUpdate damaged = toSecond;
     damaged.sections[0].text += "price-per-hour = 3\n";
     BOOST_TEST((applyUpdate(first, damaged, result) == UpdateResult::Damaged));
@@ -230,8 +231,8 @@
 
 BOOST_AUTO_TEST_CASE(two_operators_apply_at_once)
 {
-    // Two files go to two entries in the same moment, both against version 1. One is accepted as version 2; the other
-    // operator is told that another version is in force, and nothing of its file takes effect anywhere.
+    // Two operators send files to two entries at the same time, both based on version 1. One is accepted as version 2. The
+    // other is refused with 412, since another version is in force, and nothing of it takes effect anywhere.
     Cluster cluster;
     std::optional<HttpResult> results[2];
     for (std::size_t i = 0; i < 2; ++i) {
@@ -260,8 +261,8 @@
 
 BOOST_AUTO_TEST_CASE(the_answer_to_an_accepted_file_is_lost)
 {
-    // The store takes the write and its answer is lost, twice. The entry finds its own write id in the history row and
-    // tells the operator the truth: accepted, as version 2, once.
+    // The store performs the write, but its responses are lost twice. The entry finds its own write id in the history row and
+    // reports to the operator what happened: accepted once, as version 2.
     Cluster cluster;
     cluster.platform.faults().loseAnswers = 2;
     const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
@@ -279,7 +280,7 @@
     BOOST_TEST(result.status == 503);
     BOOST_TEST(findHeader(result.headers, "parsley-outcome") == "not-run");
     BOOST_TEST(!findHeader(result.headers, "Retry-After").empty());
-    // Serving goes on with what is in force.
+    // Requests are still served with the configuration in force.
     const AnswerPtr answer = cluster.ask("hello", 4);
     cluster.wait("an answer", [&] {
         return answer->isOver;
@@ -289,8 +290,8 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_that_starts_while_the_store_is_away_asks_its_peers)
 {
-    // A restarted entry holds nothing and can't read the store. It knows a peer from its settings; that peer, in service,
-    // gives it the configuration, and only then is it ready.
+    // A restarted entry has no configuration and can't read the store. Its settings name a peer, which sends it the
+    // configuration in force; only then is the entry ready.
     Cluster cluster;
     cluster.apply(withTargetClass("b"));
     cluster.waitReady(7);
@@ -326,7 +327,7 @@
 
 BOOST_AUTO_TEST_CASE(many_versions_are_read_back_from_the_store)
 {
-    // More changes than fit behind one snapshot; a fresh entry with no peer reads snapshot and changes.
+    // More changes than are stored after one snapshot: a restarted entry without peers reads the snapshot and the changes.
     ClusterOptions options;
     options.entries = 1;
     Cluster cluster(options);
--- a/tests/fuzz_configuration.cpp
+++ b/tests/fuzz_configuration.cpp
@@ -1,4 +1,4 @@
-// libFuzzer: the configuration file and the settings of the processes.
+// Fuzz target (libFuzzer) for the configuration file and the settings of entries and sidecars.
 #include "base/ini.h"
 #include "policy/configuration.h"
 
@@ -12,7 +12,7 @@
     std::vector<IniProblem> problems;
     const Configuration configuration = parseConfiguration(text, problems);
     if (problems.empty()) {
-        // An accepted file gives the same configuration again from its own text.
+        // The canonical text of a valid configuration must parse to the same configuration.
         std::vector<IniProblem> none;
         const Configuration again = parseConfiguration(configurationText(configuration), none);
         if (!none.empty() || again.digest != configuration.digest) {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The decisions, as pure functions.
+// Unit tests of the pure decision functions in src/policy.
 #include "policy/budget.h"
 #include "policy/chain.h"
 #include "policy/circuit_breaker.h"
@@ -18,7 +18,7 @@
 
 constexpr TimePoint start{std::chrono::hours(1)};
 
-/// A target that holds a range of model m.
+/// A ready target that holds layers [begin, end) of model m.
 TargetView makeHolder(const std::string &id, std::uint32_t begin, std::uint32_t end, const std::string &dataCenter = "dc-0")
 {
     TargetView view;
@@ -68,8 +68,8 @@
 
 BOOST_AUTO_TEST_CASE(a_stage_applies_each_position_once_in_order_whatever_arrives)
 {
-    // Frames come doubled, late, out of order, overlapping, from old attempts and for other layers. What the stage gives to
-    // its engine is always the next positions, each with the value that belongs to it.
+    // Frames arrive duplicated, late, out of order, overlapping, from old attempts and for other layers. The engine must
+    // still get each position exactly once, in order and with its own value.
     const bool isRight = rc::check([] {
         StageStream stream;
         openAttempt(stream, makeOpenStage(1, 1, 3));
@@ -120,7 +120,7 @@
     BOOST_TEST(consumeResults(stream).size() == 4u);
     BOOST_TEST(consumeResults(stream).empty());
     BOOST_TEST(openAttempt(stream, makeOpenStage(2, 0, 3)));
-    BOOST_TEST(consumeResults(stream).empty()); // nobody has asked yet
+    BOOST_TEST(consumeResults(stream).empty()); // the next stage has not requested a position yet
     BOOST_TEST(resumeFrom(stream, 2));
     BOOST_TEST((consumeResults(stream) == std::vector<std::uint64_t>{12, 13}));
     BOOST_TEST(!openAttempt(stream, makeOpenStage(2, 0, 3))); // not newer
@@ -158,7 +158,7 @@
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
         const auto list = pointers(views);
         const auto chain = selectChain(list, requirements, {"dc-0"}, start, random);
-        // Which layers can be reached from 0 by usable ranges?
+        // Layers that can be reached from layer 0 through the ranges of usable targets
         std::set<std::uint32_t> reachable = {0};
         for (int pass = 0; pass < 3; ++pass) {
             for (const TargetView &view : views) {
@@ -193,15 +193,15 @@
             BOOST_TEST(views[index].last.dataCenter == "dc-1");
         }
     }
-    views[4].last.streams = 50; // the middle range of dc-1 is busy: worth two hops
+    views[4].last.streams = 50; // with the middle range of dc-1 busy, two hops are cheaper
     const auto chain = selectChain(pointers(views), requirements, {"dc-1"}, start, random);
     BOOST_TEST(views[chain[1]].last.dataCenter == "dc-0");
 }
 
 BOOST_AUTO_TEST_CASE(two_random_choices_prevent_herding_on_stale_reports)
 {
-    // One of ten holders reports a slightly shorter queue. Taking the best would send every entry there; with two random
-    // choices it gets about a fifth.
+    // One of ten holders reports a slightly shorter queue. If entries picked the best one, all would pick this one. With two
+    // random choices it gets about a fifth of the streams.
     std::vector<TargetView> views;
     for (int i = 0; i < 10; ++i) {
         views.push_back(makeHolder("t" + std::to_string(i), 0, 30));
@@ -232,7 +232,7 @@
     BOOST_TEST(!acceptsNewWork(views[0], start));
     BOOST_TEST(acceptsNewWork(views[0], start + baseEjectionTime));
     recordTargetFailure(views[0], start + baseEjectionTime, 1, views.size());
-    BOOST_TEST(!acceptsNewWork(views[0], start + baseEjectionTime * 2)); // longer the second time
+    BOOST_TEST(!acceptsNewWork(views[0], start + baseEjectionTime * 2)); // the second ejection is longer
 }
 
 BOOST_AUTO_TEST_CASE(a_target_that_joins_ramps_up)
@@ -244,7 +244,7 @@
     BOOST_TEST(expectedMicros(fresh, start + rampUpTime) == expectedMicros(old, start));
 }
 
-// [SECTION] Progress, budgets, circuits
+// [SECTION] Progress, budgets, circuit breakers
 
 namespace
 {
@@ -276,8 +276,9 @@
 
 BOOST_AUTO_TEST_CASE(an_engine_that_ends_steps_is_not_stuck)
 {
-    // Thousands of streams share an engine: one of them gets no token for longer than progress-timeout, while the engine
-    // ends one step after the other for those before it. Replaced, it would be as far behind at the next engine.
+    // Thousands of streams share an engine. One of them gets no token for longer than progress-timeout, while the engine
+    // completes step after step for the streams queued before it. Replacing the stage would only queue the stream again at the
+    // next engine.
     const StageProgress fine{10, 10, 10, true};
     const StageProgress waits{10, 9, 9, true, true};
     const StageProgress hangs{10, 9, 9, true, false};
@@ -294,8 +295,8 @@
 
 BOOST_AUTO_TEST_CASE(a_frame_that_may_be_on_its_way_is_waited_for)
 {
-    // One stage has sent what the next has not received when it is asked. Mostly the frame arrives a moment later; lost, it
-    // is asked for again by a new attempt on the same chain, and only then is the stage replaced.
+    // A stage has sent a frame that the next one has not received when it is queried. Usually the frame is only in transit. If
+    // it is lost, a new attempt on the same chain requests it again, and only if that does not help the stage is replaced.
     const StageProgress fine{10, 10, 10, true};
     const StageProgress lacksFrame{8, 8, 8, true};
     const Reports lost{fine, lacksFrame, fine};
@@ -325,7 +326,7 @@
     BOOST_TEST(processPauseBefore(start, start + milliseconds(50), interval).count() == 0);
     BOOST_TEST(processPauseBefore(start, start + milliseconds(100), interval).count() == 0);
     BOOST_TEST(processPauseBefore(start, start + milliseconds(1600), interval).count() == 1500);
-    // What was heard in the turn that ends the stall gets no credit: its silence counts from then on.
+    // Something received in the tick that ends the pause gets no credit: its timeout counts from then on.
     const TimePoint now = start + milliseconds(1600);
     BOOST_TEST((creditProcessPause(start, milliseconds(1500), now) == start + milliseconds(1500)));
     BOOST_TEST((creditProcessPause(now, milliseconds(1500), now) == now));
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -1,4 +1,5 @@
-// One input that kills every engine that runs it.
+// Guards against an input that crashes every engine that runs it: retried on one engine after the other, or sent again by its
+// caller, it would take down all of them, together with the requests that they were running.
 #include "policy/quarantine.h"
 #include "tests/cluster.h"
 
@@ -14,7 +15,7 @@
 
 constexpr const char *crashInput = "poison";
 
-/// So many holders for each range, slow enough that companions are still in flight.
+/// `holders` engines for each layer range, slow enough that other inputs are still in flight when one crashes an engine.
 ClusterOptions slowEngines(std::uint32_t holders)
 {
     ClusterOptions options;
@@ -25,7 +26,7 @@
     return options;
 }
 
-/// Every engine dies of the input.
+/// Makes every engine crash on `crashInput`.
 void crashEnginesOnInput(Cluster &cluster)
 {
     for (const auto &engine : cluster.engines) {
@@ -55,7 +56,7 @@
     const TimePoint now{std::chrono::hours(1)};
     BOOST_TEST((classifyInput(quarantine, 7) == InputStatus::Clear));
     BOOST_TEST(recordCrash(quarantine, 7, {{1}}, now));
-    BOOST_TEST(!recordCrash(quarantine, 7, {{1}}, now)); // the same death told twice
+    BOOST_TEST(!recordCrash(quarantine, 7, {{1}}, now)); // the same crash reported twice
     BOOST_TEST((classifyInput(quarantine, 7) == InputStatus::Suspect));
     BOOST_TEST(clearSuspicion(quarantine, 7));
     BOOST_TEST((classifyInput(quarantine, 7) == InputStatus::Clear));
@@ -71,9 +72,9 @@
 
 BOOST_AUTO_TEST_CASE(a_crashing_input_costs_two_engines_and_no_other_input)
 {
-    // Twenty answers run when one caller sends an input that kills the first stage's engine. All that were in flight are
-    // suspect; each runs its next step alone. The deadly one kills a second engine, alone there, and is refused. The
-    // others are answered in full. The caller sends it again at the other entry: refused at once, nothing dies.
+    // Twenty streams run when one caller sends an input that crashes the first stage's engine. All inputs in flight there
+    // become suspect, and each runs its next step alone. The crashing input takes down a second engine, alone there, and is
+    // refused. The other streams complete. Sent again at both entries, the input is refused at once and no engine crashes.
     Cluster cluster(slowEngines(4));
     crashEnginesOnInput(cluster);
     std::vector<AnswerPtr> answers;
@@ -81,7 +82,7 @@
     for (int i = 0; i < 20; ++i) {
         answers.push_back(cluster.ask("innocent " + std::to_string(i), 40, static_cast<std::size_t>(i % 2)));
     }
-    cluster.wait("tokens of all", [&] {
+    cluster.wait("tokens of all streams", [&] {
         return std::all_of(answers.begin(), answers.end(), [](const AnswerPtr &answer) {
             return answer->events >= 3;
         });
@@ -115,8 +116,8 @@
 
 BOOST_AUTO_TEST_CASE(sent_at_both_entries_at_once)
 {
-    // The same input reaches two entries in the same moment and kills one engine for each. They tell each other before
-    // either tries again: two engines, not four.
+    // The same input reaches two entries at the same time and crashes one engine for each. The entries exchange notices before
+    // either retries, so that it costs two engines, not four.
     Cluster cluster(slowEngines(5));
     crashEnginesOnInput(cluster);
     const AnswerPtr a = cluster.ask(crashInput, 10, 0);
@@ -139,7 +140,7 @@
     });
     cluster.killEntry(1);
     cluster.startEntry(1);
-    cluster.wait("the new entry to know", [&] {
+    cluster.wait("the new entry to receive the quarantine", [&] {
         return suspectInputs(cluster, 1).size() == 1u;
     });
     cluster.wait("the new entry to be ready", [&] {
@@ -155,7 +156,7 @@
 
 BOOST_AUTO_TEST_CASE(the_operator_allows_a_quarantined_input)
 {
-    // The engines were mended; the operator allows the input by its fingerprint in the service's section.
+    // The engines no longer crash on the input, and the operator allows it by its fingerprint in the service's section.
     Cluster cluster(slowEngines(4));
     crashEnginesOnInput(cluster);
     const AnswerPtr first = cluster.ask(crashInput, 10);
