--- a/src/policy/progress.cpp
+++ b/src/policy/progress.cpp
@@ -101,8 +101,8 @@
     // Stages report at different times, so that a frame in transit between two of them looks lost. Only one that is really
     // lost still looks so in a second query and after a new attempt on the same chain.
     const bool isFrameMissing = diagnosis && diagnosis->fault == StageFault::InputsNotReceived;
-    const bool mayBeOnItsWay = isFrameMissing && inconclusiveQueries < inconclusiveQueriesToRenew;
-    if (diagnosis && !mayBeOnItsWay) {
+    const bool mayBeInTransit = isFrameMissing && inconclusiveQueries < inconclusiveQueriesToRenew;
+    if (diagnosis && !mayBeInTransit) {
         inconclusiveQueries = 0;
         return {StallAction::Replace, *diagnosis};
     }
