--- a/src/policy/circuit.cpp
+++ b/src/policy/circuit_breaker.cpp
@@ -1,16 +1,16 @@
-#include "policy/circuit.h"
+#include "policy/circuit_breaker.h"
 
 #include <algorithm>
 
 namespace Parsleytrail
 {
 
-bool isOpen(const Circuit &circuit)
+bool isOpen(const CircuitBreaker &circuit)
 {
     return circuit.pause.count() > 0;
 }
 
-bool tryPass(Circuit &circuit, TimePoint now)
+bool tryAcquireCall(CircuitBreaker &circuit, TimePoint now)
 {
     if (!isOpen(circuit)) {
         return true;
@@ -22,7 +22,7 @@
     return true;
 }
 
-bool noteSuccess(Circuit &circuit)
+bool recordSuccess(CircuitBreaker &circuit)
 {
     const bool wasOpen = isOpen(circuit);
     circuit.failures = 0;
@@ -31,7 +31,7 @@
     return wasOpen;
 }
 
-bool noteFailure(Circuit &circuit, TimePoint now)
+bool recordFailure(CircuitBreaker &circuit, TimePoint now)
 {
     const bool wasOpen = isOpen(circuit);
     ++circuit.failures;
@@ -39,7 +39,7 @@
     if (circuit.failures < circuit.failuresToOpen) {
         return false;
     }
-    circuit.pause = wasOpen ? std::min(circuit.pause * 2, circuit.longestPause) : circuit.firstPause;
+    circuit.pause = wasOpen ? std::min(circuit.pause * 2, circuit.maxPause) : circuit.initialPause;
     circuit.probeAt = now + circuit.pause;
     return !wasOpen;
 }
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -332,16 +332,16 @@
 /// not been read yet; if they timed out, their load would not be counted.
 static void creditStalls(LoadExchange &exchange, TimePoint now)
 {
-    const milliseconds stall = stallBefore(exchange.lastTickAt, now, exchangeInterval);
+    const milliseconds stall = processPauseBefore(exchange.lastTickAt, now, exchangeInterval);
     exchange.lastTickAt = now;
     for (auto &[id, member] : exchange.members) {
-        member.receivedAt = creditStall(member.receivedAt, stall, now);
+        member.receivedAt = creditProcessPause(member.receivedAt, stall, now);
     }
     for (auto &[id, group] : exchange.groups) {
-        group.receivedAt = creditStall(group.receivedAt, stall, now);
+        group.receivedAt = creditProcessPause(group.receivedAt, stall, now);
     }
-    exchange.lastResponseAt = creditStall(exchange.lastResponseAt, stall, now);
-    exchange.digest.receivedAt = exchange.digest.receivedAt == TimePoint() ? TimePoint() : creditStall(exchange.digest.receivedAt, stall, now);
+    exchange.lastResponseAt = creditProcessPause(exchange.lastResponseAt, stall, now);
+    exchange.digest.receivedAt = exchange.digest.receivedAt == TimePoint() ? TimePoint() : creditProcessPause(exchange.digest.receivedAt, stall, now);
 }
 
 template<typename Message>
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,4 +1,5 @@
-// The operators' files: all errors at once, one order for everyone, and never back to an older one.
+// The configuration file that operators apply: all errors are reported at once, all processes apply versions in the same order,
+// and no process goes back to an older version.
 #include "base/digest.h"
 #include "policy/configuration.h"
 #include "tests/cluster.h"
@@ -34,25 +35,25 @@
     return problems;
 }
 
-/// The usual file with one more target class.
-std::string withClass(const std::string &name)
+/// The usual configuration with one more target class.
+std::string withTargetClass(const std::string &name)
 {
     return usualConfiguration("[target-class." + name + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
 }
 
-/// A bad text and where its only problem must be found.
-struct BadText {
-    std::string text;    ///< appended to the usual file
+/// An invalid text and the section and key that a problem must name.
+struct InvalidText {
+    std::string text;    ///< appended to the usual configuration
     std::string section; ///< named by the problem
     std::string key;     ///< named by the problem
 };
 
-std::ostream &operator<<(std::ostream &out, const BadText &bad)
+std::ostream &operator<<(std::ostream &out, const InvalidText &invalid)
 {
-    return out << bad.text;
+    return out << invalid.text;
 }
 
-const std::vector<BadText> badTexts = {
+const std::vector<InvalidText> invalidTexts = {
     {"[service.x]\nkind = pipe\n", "service.x", "kind"},
     {"[service.x]\nkind = pipeline\nmodel = none\n", "service.x", "model"},
     {"[service.x]\nkind = pipeline\nmodel = assistant\nversion = v9\n", "service.x", "version"},
@@ -86,13 +87,13 @@
 
 BOOST_AUTO_TEST_SUITE(configuration)
 
-BOOST_DATA_TEST_CASE(each_error_names_section_key_and_line, boost::unit_test::data::make(badTexts), bad)
+BOOST_DATA_TEST_CASE(each_error_names_section_key_and_line, boost::unit_test::data::make(invalidTexts), invalid)
 {
-    const std::string text = usualConfiguration() + bad.text;
+    const std::string text = usualConfiguration() + invalid.text;
     const std::vector<IniProblem> problems = problemsOf(text);
     BOOST_REQUIRE(!problems.empty());
-    const auto found = std::find_if(problems.begin(), problems.end(), [&bad](const IniProblem &problem) {
-        return problem.section == bad.section && problem.key == bad.key;
+    const auto found = std::find_if(problems.begin(), problems.end(), [&invalid](const IniProblem &problem) {
+        return problem.section == invalid.section && problem.key == invalid.key;
     });
     BOOST_REQUIRE_MESSAGE(found != problems.end(), problems.front().toString());
     const std::string good = usualConfiguration();
@@ -103,23 +104,23 @@
     BOOST_TEST(!found->text.empty());
 }
 
-BOOST_AUTO_TEST_CASE(all_errors_are_told_at_once)
+BOOST_AUTO_TEST_CASE(all_errors_are_reported_at_once)
 {
     const std::vector<IniProblem> problems = problemsOf("[service.a]\nkind = x\nflavour = y\n[model.b]\nlayers = -1\n[odd.c]\n");
     BOOST_TEST(problems.size() == 5u); // kind, flavour, layers, versions missing, odd section
 }
 
-BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_cut)
+BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_truncated)
 {
-    // inih would take the first bytes of the line as a value and the rest as another line.
+    // inih would parse the first bytes of the line as a value and the remainder as another line.
     const std::vector<IniProblem> problems = problemsOf(usualConfiguration() + "[service.x]\nkind = plain\nmodel = " + std::string(20000, 'm') + "\n");
     BOOST_REQUIRE(problems.size() == 1u);
     BOOST_TEST(problems[0].text.find("bytes in a line") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_long_line_is_read_whole)
+BOOST_AUTO_TEST_CASE(a_long_line_is_read_completely)
 {
-    // inih's own buffer holds 200 bytes: a workspace with three keys was refused.
+    // With inih's own buffer of 200 bytes, a workspace with three key digests was refused.
     std::string digests;
     for (int i = 0; i < 40; ++i) {
         digests += (i > 0 ? ", " : "") + sha256Hex("key " + std::to_string(i));
@@ -130,7 +131,7 @@
     BOOST_TEST(parse(configurationText(configuration)).digest == configuration.digest);
 }
 
-BOOST_AUTO_TEST_CASE(order_blanks_and_comments_change_nothing)
+BOOST_AUTO_TEST_CASE(order_blanks_and_comments_do_not_change_the_digest)
 {
     const Configuration a = parse("[model.m]\nlayers = 3\nversions = v1\n[target-class.c]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
     const Configuration b = parse("; hello\n[target-class.c]\ntokens-per-second=1\nmemory-gib =  1\naccelerator = x\n\n[model.m]\nversions = v1\nlayers = 3\n");
@@ -139,27 +140,27 @@
     BOOST_TEST(parse(configurationText(a)).digest == a.digest);
 }
 
-BOOST_AUTO_TEST_CASE(updates_carry_only_what_changed_and_never_go_back)
+BOOST_AUTO_TEST_CASE(updates_carry_only_changes_and_never_go_back)
 {
     Configuration first = parse(usualConfiguration());
     first.version.value = 1;
-    Configuration second = parse(withClass("b"));
+    Configuration second = parse(withTargetClass("b"));
     second.version.value = 2;
     Configuration third = parse(usualConfiguration());
     third.version.value = 3;
     ConfigurationLog log;
-    noteChange(log, {}, first);
-    noteChange(log, first, second);
+    recordChange(log, {}, first);
+    recordChange(log, first, second);
     const ConfigurationUpdate toSecond = makeUpdate(second, log, first.version, SectionScope::All);
     BOOST_TEST(toSecond.sections.size() == 1u);
     Configuration result;
-    BOOST_TEST((takeUpdate(first, toSecond, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate(first, toSecond, result) == UpdateResult::Applied));
     BOOST_TEST(result.digest == second.digest);
-    noteChange(log, second, third);
+    recordChange(log, second, third);
     const ConfigurationUpdate toThird = makeUpdate(third, log, second.version, SectionScope::All);
     BOOST_TEST(toThird.sections.empty());
     BOOST_TEST(toThird.removed.size() == 1u);
-    BOOST_TEST((takeUpdate(second, toThird, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate(second, toThird, result) == UpdateResult::Applied));
     BOOST_TEST(result.digest == first.digest);
     // A key that moves from one workspace to another in one change
     Configuration before = parse(usualConfiguration("[workspace.w]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
@@ -167,21 +168,21 @@
     Configuration after = parse(usualConfiguration("[workspace.a]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
     after.version.value = 2;
     ConfigurationLog keys;
-    noteChange(keys, before, after);
-    BOOST_TEST((takeUpdate(before, makeUpdate(after, keys, before.version, SectionScope::All), result) == UpdateVerdict::Taken));
-    BOOST_TEST(result.workspaceOfKey == after.workspaceOfKey);
+    recordChange(keys, before, after);
+    BOOST_TEST((applyUpdate(before, makeUpdate(after, keys, before.version, SectionScope::All), result) == UpdateResult::Applied));
+    BOOST_TEST(result.workspaceByKeyDigest == after.workspaceByKeyDigest);
     BOOST_TEST(result.workspaces.size() == after.workspaces.size());
-    // Late, doubled and out of order
-    BOOST_TEST((takeUpdate(third, toSecond, result) == UpdateVerdict::NotNewer));
-    BOOST_TEST((takeUpdate(third, toThird, result) == UpdateVerdict::NotNewer));
-    BOOST_TEST((takeUpdate(first, toThird, result) == UpdateVerdict::Lacking));
-    // Whole for who knows nothing, or a version that the log has forgotten
-    BOOST_TEST((takeUpdate({}, makeUpdate(third, log, {}, SectionScope::All), result) == UpdateVerdict::Taken));
+    // Late, duplicated and out-of-order updates
+    BOOST_TEST((applyUpdate(third, toSecond, result) == UpdateResult::NotNewer));
+    BOOST_TEST((applyUpdate(third, toThird, result) == UpdateResult::NotNewer));
+    BOOST_TEST((applyUpdate(first, toThird, result) == UpdateResult::BaseMismatch));
+    // Full updates for a receiver without a configuration, or with a version that the log no longer holds
+    BOOST_TEST((applyUpdate({}, makeUpdate(third, log, {}, SectionScope::All), result) == UpdateResult::Applied));
     BOOST_TEST((makeUpdate(third, log, {77}, SectionScope::All).baseVersion == ConfigurationVersion{}));
-    // Damaged on the way
+    // An update that was damaged in transit
     ConfigurationUpdate damaged = toSecond;
     damaged.sections[0].text += "price-per-hour = 3\n";
-    BOOST_TEST((takeUpdate(first, damaged, result) == UpdateVerdict::Damaged));
+    BOOST_TEST((applyUpdate(first, damaged, result) == UpdateResult::Damaged));
 }
 
 BOOST_AUTO_TEST_CASE(sidecars_get_no_workspaces)
@@ -193,7 +194,7 @@
         BOOST_TEST(section.name.find("workspace.") != 0u);
     }
     Configuration result;
-    BOOST_TEST((takeUpdate({}, update, result) == UpdateVerdict::Taken));
+    BOOST_TEST((applyUpdate({}, update, result) == UpdateResult::Applied));
     BOOST_TEST(result.services.size() == 2u);
     BOOST_TEST(result.workspaces.empty());
 }
@@ -207,19 +208,19 @@
     BOOST_TEST(findHeader(shown.headers, "ETag") == "\"1\"");
     BOOST_TEST(parse(shown.body).digest == parse(usualConfiguration()).digest);
 
-    const HttpResult dry = cluster.operate("PUT", "/operator/v1/configuration?dry-run", withClass("b"));
+    const HttpResult dry = cluster.operate("PUT", "/operator/v1/configuration?dry-run", withTargetClass("b"));
     BOOST_TEST(json::parse(dry.body)["result"] == "dry-run");
     BOOST_TEST(json::parse(dry.body)["changes"][0]["section"] == "target-class.b");
     BOOST_TEST(json::parse(cluster.operate("PUT", "/operator/v1/configuration", usualConfiguration()).body)["result"] == "unchanged");
 
-    const HttpResult bad = cluster.operate("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
-    BOOST_TEST(bad.status == 422);
-    BOOST_TEST(json::parse(bad.body)["errors"].size() == 2u);
-    BOOST_TEST(findHeader(bad.headers, "parsley-outcome") == "not-run");
+    const HttpResult invalid = cluster.operate("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
+    BOOST_TEST(invalid.status == 422);
+    BOOST_TEST(json::parse(invalid.body)["errors"].size() == 2u);
+    BOOST_TEST(findHeader(invalid.headers, "parsley-outcome") == "not-run");
 
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "\"7\""}}).status == 412);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "seven"}}).status == 400);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withClass("b"), {{"If-Match", "\"1\""}}).status == 200);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"7\""}}).status == 412);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "seven"}}).status == 400);
+    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"1\""}}).status == 200);
     cluster.waitReady(7);
     const json history = json::parse(cluster.operate("GET", "/operator/v1/configuration/history", {}, {}, 1).body)["history"];
     BOOST_REQUIRE(history.size() == 2u);
@@ -230,8 +231,8 @@
 
 BOOST_AUTO_TEST_CASE(two_operators_apply_at_once)
 {
-    // Two files go to two entries in the same moment, both against version 1. One is accepted as version 2; the other
-    // operator is told that another version is in force, and nothing of its file takes effect anywhere.
+    // Two operators send files to two entries at the same time, both based on version 1. One is accepted as version 2. The
+    // other is refused with 412, since another version is in force, and nothing of it takes effect anywhere.
     Cluster cluster;
     std::optional<HttpResult> results[2];
     for (std::size_t i = 0; i < 2; ++i) {
@@ -239,7 +240,7 @@
         request.method = "PUT";
         request.path = "/operator/v1/configuration";
         request.headers = {{"Authorization", std::string("Bearer ") + operatorKey}, {"If-Match", "\"1\""}};
-        request.body = withClass(i == 0 ? "first" : "second");
+        request.body = withTargetClass(i == 0 ? "first" : "second");
         cluster.client.fetch(cluster.entries[i]->operatorAddress(), request, [&results, i](const HttpResult &result) {
             results[i] = result;
         });
@@ -260,11 +261,11 @@
 
 BOOST_AUTO_TEST_CASE(the_answer_to_an_accepted_file_is_lost)
 {
-    // The store takes the write and its answer is lost, twice. The entry finds its own write id in the history row and
-    // tells the operator the truth: accepted, as version 2, once.
+    // The store performs the write, but its responses are lost twice. The entry finds its own write id in the history row and
+    // reports to the operator what happened: accepted once, as version 2.
     Cluster cluster;
     cluster.platform.faults().loseAnswers = 2;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withClass("b"));
+    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 200);
     BOOST_TEST(json::parse(result.body)["version"] == 2);
     BOOST_TEST(json::parse(cluster.operate("GET", "/operator/v1/configuration/history").body)["history"].size() == 2u);
@@ -275,11 +276,11 @@
 {
     Cluster cluster;
     cluster.platform.faults().isDown = true;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withClass("b"));
+    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 503);
     BOOST_TEST(findHeader(result.headers, "parsley-outcome") == "not-run");
     BOOST_TEST(!findHeader(result.headers, "Retry-After").empty());
-    // Serving goes on with what is in force.
+    // Requests are still served with the configuration in force.
     const AnswerPtr answer = cluster.ask("hello", 4);
     cluster.wait("an answer", [&] {
         return answer->isOver;
@@ -289,10 +290,10 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_that_starts_while_the_store_is_away_asks_its_peers)
 {
-    // A restarted entry holds nothing and can't read the store. It knows a peer from its settings; that peer, in service,
-    // gives it the configuration, and only then is it ready.
+    // A restarted entry has no configuration and can't read the store. Its settings name a peer, which sends it the
+    // configuration in force; only then is the entry ready.
     Cluster cluster;
-    cluster.apply(withClass("b"));
+    cluster.apply(withTargetClass("b"));
     cluster.waitReady(7);
     cluster.killEntry(1);
     cluster.platform.faults().isSilent = true;
@@ -326,12 +327,12 @@
 
 BOOST_AUTO_TEST_CASE(many_versions_are_read_back_from_the_store)
 {
-    // More changes than fit behind one snapshot; a fresh entry with no peer reads snapshot and changes.
+    // More changes than are stored after one snapshot: a restarted entry without peers reads the snapshot and the changes.
     ClusterOptions options;
     options.entries = 1;
     Cluster cluster(options);
     for (int i = 0; i < 70; ++i) {
-        cluster.apply(withClass("c" + std::to_string(i)));
+        cluster.apply(withTargetClass("c" + std::to_string(i)));
     }
     cluster.killEntry(0);
     cluster.startEntry(0);
@@ -339,7 +340,7 @@
         return cluster.entries[0]->isReady();
     });
     BOOST_TEST(cluster.entries[0]->configurationVersion() == 71u);
-    BOOST_TEST(parse(cluster.operate("GET", "/operator/v1/configuration").body).digest == parse(withClass("c69")).digest);
+    BOOST_TEST(parse(cluster.operate("GET", "/operator/v1/configuration").body).digest == parse(withTargetClass("c69")).digest);
 }
 
 BOOST_AUTO_TEST_CASE(a_change_of_keys_takes_effect_at_every_entry)
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,7 +1,7 @@
-// The decisions, as pure functions.
+// Unit tests of the pure decision functions in src/policy.
 #include "policy/budget.h"
 #include "policy/chain.h"
-#include "policy/circuit.h"
+#include "policy/circuit_breaker.h"
 #include "policy/progress.h"
 #include "policy/rendezvous.h"
 #include "policy/stage_stream.h"
@@ -18,8 +18,8 @@
 
 constexpr TimePoint start{std::chrono::hours(1)};
 
-/// A target that holds a range of model m.
-TargetView holder(const std::string &id, std::uint32_t begin, std::uint32_t end, const std::string &dataCenter = "dc-0")
+/// A ready target that holds layers [begin, end) of model m.
+TargetView makeHolder(const std::string &id, std::uint32_t begin, std::uint32_t end, const std::string &dataCenter = "dc-0")
 {
     TargetView view;
     view.last.target.value = id;
@@ -45,9 +45,9 @@
     return list;
 }
 
-const ModelNeed need{{"m"}, "v1", "", 30};
+const ModelRequirements requirements{{"m"}, "v1", "", 30};
 
-OpenStage openFor(std::uint32_t attempt, std::uint32_t stage, std::uint32_t stages)
+OpenStage makeOpenStage(std::uint32_t attempt, std::uint32_t stage, std::uint32_t stages)
 {
     OpenStage open;
     open.request.value = "r";
@@ -68,18 +68,18 @@
 
 BOOST_AUTO_TEST_CASE(a_stage_applies_each_position_once_in_order_whatever_arrives)
 {
-    // Frames come doubled, late, out of order, overlapping, from old attempts and for other layers. What the stage gives to
-    // its engine is always the next positions, each with the value that belongs to it.
+    // Frames arrive duplicated, late, out of order, overlapping, from old attempts and for other layers. The engine must
+    // still get each position exactly once, in order and with its own value.
     const bool isRight = rc::check([] {
         StageStream stream;
-        openAttempt(stream, openFor(1, 1, 3));
+        openAttempt(stream, makeOpenStage(1, 1, 3));
         std::uint32_t attempt = 1;
         std::vector<std::uint64_t> applied;
         const auto steps = *rc::gen::inRange(1, 60);
         for (int i = 0; i < steps; ++i) {
             const auto action = *rc::gen::inRange(0, 10);
             if (action == 0) {
-                openAttempt(stream, openFor(++attempt, 1, 3));
+                openAttempt(stream, makeOpenStage(++attempt, 1, 3));
                 continue;
             }
             ActivationFrame frame;
@@ -93,10 +93,10 @@
                 frame.activations.push_back(1000 + frame.position + p);
             }
             const std::uint32_t before = received(stream);
-            const InputVerdict verdict = takeActivations(stream, frame);
-            RC_ASSERT((verdict == InputVerdict::Take) == (received(stream) > before));
+            const InputDecision decision = handleActivations(stream, frame);
+            RC_ASSERT((decision == InputDecision::Accept) == (received(stream) > before));
             if (action == 1 || action == 2) {
-                RC_ASSERT(verdict != InputVerdict::Take);
+                RC_ASSERT(decision != InputDecision::Accept);
             }
             const auto input = beginStep(stream);
             if (input) {
@@ -112,33 +112,33 @@
     BOOST_TEST(isRight);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_attempt_passes_on_what_the_next_stage_asks_for)
+BOOST_AUTO_TEST_CASE(a_new_attempt_resends_results_from_the_requested_position)
 {
     StageStream stream;
-    openAttempt(stream, openFor(1, 0, 3));
+    openAttempt(stream, makeOpenStage(1, 0, 3));
     endStep(stream, 4, 4, {10, 11, 12, 13});
-    BOOST_TEST(takeResults(stream).size() == 4u);
-    BOOST_TEST(takeResults(stream).empty());
-    BOOST_TEST(openAttempt(stream, openFor(2, 0, 3)));
-    BOOST_TEST(takeResults(stream).empty()); // nobody has asked yet
+    BOOST_TEST(consumeResults(stream).size() == 4u);
+    BOOST_TEST(consumeResults(stream).empty());
+    BOOST_TEST(openAttempt(stream, makeOpenStage(2, 0, 3)));
+    BOOST_TEST(consumeResults(stream).empty()); // the next stage has not requested a position yet
     BOOST_TEST(resumeFrom(stream, 2));
-    BOOST_TEST((takeResults(stream) == std::vector<std::uint64_t>{12, 13}));
-    BOOST_TEST(!openAttempt(stream, openFor(2, 0, 3))); // not newer
-    BOOST_TEST(dropKept(stream) == 4 * sizeof(std::uint64_t));
+    BOOST_TEST((consumeResults(stream) == std::vector<std::uint64_t>{12, 13}));
+    BOOST_TEST(!openAttempt(stream, makeOpenStage(2, 0, 3))); // not newer
+    BOOST_TEST(dropKeptResults(stream) == 4 * sizeof(std::uint64_t));
     BOOST_TEST(!resumeFrom(stream, 2));
     BOOST_TEST(resumeFrom(stream, 4));
 }
 
-BOOST_AUTO_TEST_CASE(the_last_stage_notices_another_token_than_the_caller_has)
+BOOST_AUTO_TEST_CASE(the_last_stage_detects_a_token_that_differs_from_the_one_sent)
 {
     StageStream stream;
-    OpenStage open = openFor(2, 2, 3);
+    OpenStage open = makeOpenStage(2, 2, 3);
     open.tokens = {7, 8};
     openAttempt(stream, open);
-    BOOST_TEST(noteToken(stream, {7, "a", FinishReason::None}, open.tokens));
-    BOOST_TEST(!noteToken(stream, {9, "b", FinishReason::None}, open.tokens));
-    BOOST_TEST(noteToken(stream, {8, "b", FinishReason::None}, open.tokens));
-    BOOST_TEST(noteToken(stream, {5, "c", FinishReason::Stop}, open.tokens));
+    BOOST_TEST(recordToken(stream, {7, "a", FinishReason::None}, open.tokens));
+    BOOST_TEST(!recordToken(stream, {9, "b", FinishReason::None}, open.tokens));
+    BOOST_TEST(recordToken(stream, {8, "b", FinishReason::None}, open.tokens));
+    BOOST_TEST(recordToken(stream, {5, "c", FinishReason::Stop}, open.tokens));
     BOOST_TEST(stream.isFinished);
 }
 
@@ -152,17 +152,17 @@
         for (int i = 0; i < count; ++i) {
             const auto begin = *rc::gen::inRange<std::uint32_t>(0, 3) * 10;
             const auto length = (1 + *rc::gen::inRange<std::uint32_t>(0, 2)) * 10;
-            views.push_back(holder("t" + std::to_string(i), begin, std::min(begin + length, 30u), "dc-" + std::to_string(*rc::gen::inRange(0, 3))));
-            views.back().isSilent = *rc::gen::inRange(0, 5) == 0;
+            views.push_back(makeHolder("t" + std::to_string(i), begin, std::min(begin + length, 30u), "dc-" + std::to_string(*rc::gen::inRange(0, 3))));
+            views.back().isTimedOut = *rc::gen::inRange(0, 5) == 0;
         }
         std::mt19937_64 random(*rc::gen::arbitrary<std::uint64_t>());
         const auto list = pointers(views);
-        const auto chain = chooseChain(list, need, {"dc-0"}, start, random);
-        // Which layers can be reached from 0 by usable ranges?
+        const auto chain = selectChain(list, requirements, {"dc-0"}, start, random);
+        // Layers that can be reached from layer 0 through the ranges of usable targets
         std::set<std::uint32_t> reachable = {0};
         for (int pass = 0; pass < 3; ++pass) {
             for (const TargetView &view : views) {
-                if (!view.isSilent && reachable.count(view.last.layerBegin)) {
+                if (!view.isTimedOut && reachable.count(view.last.layerBegin)) {
                     reachable.insert(view.last.layerEnd);
                 }
             }
@@ -171,7 +171,7 @@
         std::uint32_t next = 0;
         for (const std::size_t index : chain) {
             RC_ASSERT(views[index].last.layerBegin == next);
-            RC_ASSERT(!views[index].isSilent);
+            RC_ASSERT(!views[index].isTimedOut);
             next = views[index].last.layerEnd;
         }
         RC_ASSERT(chain.empty() || next == 30);
@@ -184,33 +184,33 @@
     std::vector<TargetView> views;
     for (const char *dataCenter : {"dc-0", "dc-1"}) {
         for (std::uint32_t range = 0; range < 3; ++range) {
-            views.push_back(holder(std::string(dataCenter) + std::to_string(range), range * 10, range * 10 + 10, dataCenter));
+            views.push_back(makeHolder(std::string(dataCenter) + std::to_string(range), range * 10, range * 10 + 10, dataCenter));
         }
     }
     std::mt19937_64 random(1);
     for (int i = 0; i < 20; ++i) {
-        for (const std::size_t index : chooseChain(pointers(views), need, {"dc-1"}, start, random)) {
+        for (const std::size_t index : selectChain(pointers(views), requirements, {"dc-1"}, start, random)) {
             BOOST_TEST(views[index].last.dataCenter == "dc-1");
         }
     }
-    views[4].last.streams = 50; // the middle range of dc-1 is busy: worth two hops
-    const auto chain = chooseChain(pointers(views), need, {"dc-1"}, start, random);
+    views[4].last.streams = 50; // with the middle range of dc-1 busy, two hops are cheaper
+    const auto chain = selectChain(pointers(views), requirements, {"dc-1"}, start, random);
     BOOST_TEST(views[chain[1]].last.dataCenter == "dc-0");
 }
 
-BOOST_AUTO_TEST_CASE(two_choices_spread_what_stale_reports_would_herd)
+BOOST_AUTO_TEST_CASE(two_random_choices_prevent_herding_on_stale_reports)
 {
-    // One of ten holders reports a slightly shorter queue. Taking the best would send every entry there; with two random
-    // choices it gets about a fifth.
+    // One of ten holders reports a slightly shorter queue. If entries picked the best one, all would pick this one. With two
+    // random choices it gets about a fifth of the streams.
     std::vector<TargetView> views;
     for (int i = 0; i < 10; ++i) {
-        views.push_back(holder("t" + std::to_string(i), 0, 30));
+        views.push_back(makeHolder("t" + std::to_string(i), 0, 30));
         views.back().last.streams = i == 0 ? 9 : 10;
     }
     std::mt19937_64 random(7);
     int first = 0;
     for (int i = 0; i < 1000; ++i) {
-        first += chooseChain(pointers(views), need, {"dc-0"}, start, random)[0] == 0 ? 1 : 0;
+        first += selectChain(pointers(views), requirements, {"dc-0"}, start, random)[0] == 0 ? 1 : 0;
     }
     BOOST_TEST(first > 100);
     BOOST_TEST(first < 300);
@@ -221,42 +221,42 @@
     std::vector<TargetView> views;
     views.reserve(5);
     for (int i = 0; i < 5; ++i) {
-        views.push_back(holder("t" + std::to_string(i), 0, 30));
+        views.push_back(makeHolder("t" + std::to_string(i), 0, 30));
     }
     std::size_t ejected = 0;
     for (TargetView &view : views) {
-        noteTargetFailure(view, start, ejected, views.size());
+        recordTargetFailure(view, start, ejected, views.size());
         ejected += start < view.ejectedUntil ? 1 : 0;
     }
     BOOST_TEST(ejected == 2u);
-    BOOST_TEST(!takesNewWork(views[0], start));
-    BOOST_TEST(takesNewWork(views[0], start + firstEjection));
-    noteTargetFailure(views[0], start + firstEjection, 1, views.size());
-    BOOST_TEST(!takesNewWork(views[0], start + firstEjection * 2)); // longer the second time
+    BOOST_TEST(!acceptsNewWork(views[0], start));
+    BOOST_TEST(acceptsNewWork(views[0], start + baseEjectionTime));
+    recordTargetFailure(views[0], start + baseEjectionTime, 1, views.size());
+    BOOST_TEST(!acceptsNewWork(views[0], start + baseEjectionTime * 2)); // the second ejection is longer
 }
 
 BOOST_AUTO_TEST_CASE(a_target_that_joins_ramps_up)
 {
-    TargetView fresh = holder("t", 0, 30);
+    TargetView fresh = makeHolder("t", 0, 30);
     fresh.joinedAt = start;
-    const TargetView old = holder("u", 0, 30);
+    const TargetView old = makeHolder("u", 0, 30);
     BOOST_TEST(expectedMicros(fresh, start) > 4 * expectedMicros(old, start));
-    BOOST_TEST(expectedMicros(fresh, start + rampTime) == expectedMicros(old, start));
+    BOOST_TEST(expectedMicros(fresh, start + rampUpTime) == expectedMicros(old, start));
 }
 
-// [SECTION] Progress, budgets, circuits
+// [SECTION] Progress, budgets, circuit breakers
 
 namespace
 {
 
 using Reports = std::vector<std::optional<StageProgress>>;
 
-void checkBlame(const Reports &reports, std::uint32_t stage, StageFault fault)
+void checkDiagnosis(const Reports &reports, std::uint32_t stage, StageFault fault)
 {
-    const std::optional<StageBlame> blame = blameStage(reports);
-    BOOST_REQUIRE(blame.has_value());
-    BOOST_TEST(blame->stage == stage);
-    BOOST_TEST(toString(blame->fault) == toString(fault));
+    const std::optional<StageDiagnosis> diagnosis = findFaultyStage(reports);
+    BOOST_REQUIRE(diagnosis.has_value());
+    BOOST_TEST(diagnosis->stage == stage);
+    BOOST_TEST(toString(diagnosis->fault) == toString(fault));
 }
 
 } // namespace
@@ -266,81 +266,82 @@
     const StageProgress fine{10, 10, 10, true};
     const StageProgress hangs{10, 9, 9, true};
     const StageProgress lacksFrame{8, 8, 8, true};
-    BOOST_TEST(!blameStage(Reports{fine, fine, fine}).has_value());
-    checkBlame({fine, std::nullopt, fine}, 1, StageFault::NoAnswer);
-    checkBlame({fine, fine, hangs}, 2, StageFault::InputsNotApplied);
-    checkBlame({fine, lacksFrame, fine}, 1, StageFault::InputsNotReceived);
-    checkBlame({StageProgress{0, 0, 0, false}, fine, fine}, 0, StageFault::StreamUnknown);
-    checkBlame({fine, StageProgress{10, 8, 8, true}, lacksFrame}, 1, StageFault::InputsNotApplied);
+    BOOST_TEST(!findFaultyStage(Reports{fine, fine, fine}).has_value());
+    checkDiagnosis({fine, std::nullopt, fine}, 1, StageFault::NoAnswer);
+    checkDiagnosis({fine, fine, hangs}, 2, StageFault::InputsNotApplied);
+    checkDiagnosis({fine, lacksFrame, fine}, 1, StageFault::InputsNotReceived);
+    checkDiagnosis({StageProgress{0, 0, 0, false}, fine, fine}, 0, StageFault::StreamUnknown);
+    checkDiagnosis({fine, StageProgress{10, 8, 8, true}, lacksFrame}, 1, StageFault::InputsNotApplied);
 }
 
 BOOST_AUTO_TEST_CASE(an_engine_that_ends_steps_is_not_stuck)
 {
-    // Thousands of streams share an engine: one of them gets no token for longer than progress-timeout, while the engine
-    // ends one step after the other for those before it. Replaced, it would be as far behind at the next engine.
+    // Thousands of streams share an engine. One of them gets no token for longer than progress-timeout, while the engine
+    // completes step after step for the streams queued before it. Replacing the stage would only queue the stream again at the
+    // next engine.
     const StageProgress fine{10, 10, 10, true};
     const StageProgress waits{10, 9, 9, true, true};
     const StageProgress hangs{10, 9, 9, true, false};
-    BOOST_TEST(!blameStage(Reports{fine, waits, fine}).has_value());
-    std::uint32_t idleQueries = 0;
+    BOOST_TEST(!findFaultyStage(Reports{fine, waits, fine}).has_value());
+    std::uint32_t inconclusiveQueries = 0;
     for (int i = 0; i < 5; ++i) {
-        BOOST_TEST((judgeStall(Reports{fine, waits, fine}, idleQueries).action == StallAction::Wait));
+        BOOST_TEST((decideStallAction(Reports{fine, waits, fine}, inconclusiveQueries).action == StallAction::Wait));
     }
-    BOOST_TEST(idleQueries == 0u);
-    BOOST_TEST((judgeStall(Reports{fine, hangs, fine}, idleQueries).action == StallAction::Replace));
-    checkBlame({waits, hangs, fine}, 1, StageFault::InputsNotApplied);
-    checkBlame({waits, std::nullopt, fine}, 1, StageFault::NoAnswer);
+    BOOST_TEST(inconclusiveQueries == 0u);
+    BOOST_TEST((decideStallAction(Reports{fine, hangs, fine}, inconclusiveQueries).action == StallAction::Replace));
+    checkDiagnosis({waits, hangs, fine}, 1, StageFault::InputsNotApplied);
+    checkDiagnosis({waits, std::nullopt, fine}, 1, StageFault::NoAnswer);
 }
 
 BOOST_AUTO_TEST_CASE(a_frame_that_may_be_on_its_way_is_waited_for)
 {
-    // One stage has sent what the next has not received when it is asked. Mostly the frame arrives a moment later; lost, it
-    // is asked for again by a new attempt on the same chain, and only then is the stage replaced.
+    // A stage has sent a frame that the next one has not received when it is queried. Usually the frame is only in transit. If
+    // it is lost, a new attempt on the same chain requests it again, and only if that does not help the stage is replaced.
     const StageProgress fine{10, 10, 10, true};
     const StageProgress lacksFrame{8, 8, 8, true};
     const Reports lost{fine, lacksFrame, fine};
-    std::uint32_t idleQueries = 0;
-    BOOST_TEST((judgeStall(lost, idleQueries).action == StallAction::Wait));
-    BOOST_TEST((judgeStall(lost, idleQueries).action == StallAction::Renew));
-    const StallVerdict verdict = judgeStall(lost, idleQueries);
-    BOOST_TEST((verdict.action == StallAction::Replace));
-    BOOST_TEST(verdict.blame.stage == 1u);
-    BOOST_TEST(idleQueries == 0u);
+    std::uint32_t inconclusiveQueries = 0;
+    BOOST_TEST((decideStallAction(lost, inconclusiveQueries).action == StallAction::Wait));
+    BOOST_TEST((decideStallAction(lost, inconclusiveQueries).action == StallAction::Renew));
+    const StallDecision decision = decideStallAction(lost, inconclusiveQueries);
+    BOOST_TEST((decision.action == StallAction::Replace));
+    BOOST_TEST(decision.diagnosis.stage == 1u);
+    BOOST_TEST(inconclusiveQueries == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(stages_that_wait_for_each_other_are_renewed)
+BOOST_AUTO_TEST_CASE(stages_that_wait_for_each_other_get_a_new_attempt)
 {
     const StageProgress fine{10, 10, 10, true};
     const Reports idle{fine, fine, fine};
-    std::uint32_t idleQueries = 0;
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Wait));
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Renew));
-    BOOST_TEST((judgeStall(idle, idleQueries).action == StallAction::Wait));
+    std::uint32_t inconclusiveQueries = 0;
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Wait));
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Renew));
+    BOOST_TEST((decideStallAction(idle, inconclusiveQueries).action == StallAction::Wait));
 }
 
-BOOST_AUTO_TEST_CASE(late_ticks_show_that_the_process_stood_still)
+BOOST_AUTO_TEST_CASE(late_ticks_reveal_a_process_pause)
 {
     const milliseconds interval(50);
-    BOOST_TEST(stallBefore({}, start, interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(50), interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(100), interval).count() == 0);
-    BOOST_TEST(stallBefore(start, start + milliseconds(1600), interval).count() == 1500);
-    // What was heard in the turn that ends the stall gets no credit: its silence counts from then on.
+    BOOST_TEST(processPauseBefore({}, start, interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(50), interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(100), interval).count() == 0);
+    BOOST_TEST(processPauseBefore(start, start + milliseconds(1600), interval).count() == 1500);
+    // Something received in the tick that ends the pause gets no credit: its timeout counts from then on.
     const TimePoint now = start + milliseconds(1600);
-    BOOST_TEST((creditStall(start, milliseconds(1500), now) == start + milliseconds(1500)));
-    BOOST_TEST((creditStall(now, milliseconds(1500), now) == now));
+    BOOST_TEST((creditProcessPause(start, milliseconds(1500), now) == start + milliseconds(1500)));
+    BOOST_TEST((creditProcessPause(now, milliseconds(1500), now) == now));
 }
 
-BOOST_AUTO_TEST_CASE(timeouts_follow_what_is_usual)
+BOOST_AUTO_TEST_CASE(timeouts_adapt_to_observed_times)
 {
     TimeEstimate estimate;
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) == milliseconds(5000)));
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) == milliseconds(5000)));
     for (int i = 0; i < 100; ++i) {
-        noteTime(estimate, 0.2);
+        recordTime(estimate, 0.2);
     }
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) < milliseconds(260)));
-    noteTime(estimate, 1.0);
-    BOOST_TEST((overdueAfter(estimate, milliseconds(100), milliseconds(5000)) > milliseconds(800)));
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) < milliseconds(260)));
+    recordTime(estimate, 1.0);
+    BOOST_TEST((adaptiveTimeout(estimate, milliseconds(100), milliseconds(5000)) > milliseconds(800)));
 }
 
 BOOST_AUTO_TEST_CASE(retries_stay_within_their_share)
@@ -361,26 +362,26 @@
 
 BOOST_AUTO_TEST_CASE(a_circuit_opens_probes_and_closes)
 {
-    Circuit circuit;
+    CircuitBreaker circuit;
     TimePoint now = start;
     for (int i = 0; i < 2; ++i) {
-        BOOST_TEST(tryPass(circuit, now));
-        BOOST_TEST(!noteFailure(circuit, now));
+        BOOST_TEST(tryAcquireCall(circuit, now));
+        BOOST_TEST(!recordFailure(circuit, now));
     }
-    BOOST_TEST(noteFailure(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now));
-    now += circuit.firstPause;
-    BOOST_TEST(tryPass(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now)); // one probe at a time
-    BOOST_TEST(!noteFailure(circuit, now));
-    BOOST_TEST(!tryPass(circuit, now + circuit.firstPause)); // pauses double
-    now += circuit.firstPause * 2;
-    BOOST_TEST(tryPass(circuit, now));
-    BOOST_TEST(noteSuccess(circuit));
-    BOOST_TEST(tryPass(circuit, now));
+    BOOST_TEST(recordFailure(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now));
+    now += circuit.initialPause;
+    BOOST_TEST(tryAcquireCall(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now)); // one probe at a time
+    BOOST_TEST(!recordFailure(circuit, now));
+    BOOST_TEST(!tryAcquireCall(circuit, now + circuit.initialPause)); // pauses double
+    now += circuit.initialPause * 2;
+    BOOST_TEST(tryAcquireCall(circuit, now));
+    BOOST_TEST(recordSuccess(circuit));
+    BOOST_TEST(tryAcquireCall(circuit, now));
 }
 
-BOOST_AUTO_TEST_CASE(a_rate_is_kept)
+BOOST_AUTO_TEST_CASE(the_rate_limit_is_kept)
 {
     TokenBucket budget{10, 5, 0, {}};
     int taken = 0;
@@ -391,7 +392,7 @@
     BOOST_TEST(taken <= 106);
 }
 
-BOOST_AUTO_TEST_CASE(rendezvous_moves_few_when_one_leaves)
+BOOST_AUTO_TEST_CASE(rendezvous_moves_few_members_when_a_peer_leaves)
 {
     std::vector<std::string> entries;
     entries.reserve(20);
