--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -7,15 +7,15 @@
 {
 
 /// Answers up to this size are held until they are whole, so that a cut one can be replaced by another target's.
-constexpr std::size_t heldAnswerBytes = 128 * 1024;
+constexpr std::size_t maxBufferedResponseBytes = 128 * 1024;
 /// Reading from a target stops while its caller has this much to take.
-constexpr std::size_t maxWaitingBytes = 256 * 1024;
+constexpr std::size_t maxUnsentBytes = 256 * 1024;
 /// A request is not sent again with less time than this left: a target needs tens of milliseconds.
-constexpr milliseconds shortestAttempt{30};
+constexpr milliseconds minAttemptTime{30};
 /// When targets that refused for lack of room are expected to have some again: a few times their usual work.
-constexpr milliseconds fullRetryAfter{400};
+constexpr milliseconds overloadRetryAfter{400};
 /// When a service without a usable target is expected to have one: engines restart within seconds.
-constexpr milliseconds missingRetryAfter{1000};
+constexpr milliseconds noTargetRetryAfter{1000};
 
 class CallForwarding final : public TargetForwarding
 {
@@ -26,12 +26,12 @@
     }
 
     void begin() override;
-    void checkTime(TimePoint now) override;
-    void noteDeadTarget(const TargetId &) override
+    void checkTimeouts(TimePoint now) override;
+    void handleFailedTarget(const TargetId &) override
     {
         // A call waits for one target only: its own connection or time-out tells.
     }
-    void leaveGoingEngines() override
+    void moveOffLeavingEngines() override
     {
         // A call lasts milliseconds; its target goes on serving for longer.
     }
@@ -40,7 +40,7 @@
         static const std::vector<ChainPart> none;
         return none;
     }
-    TimePoint progressAt() const override
+    TimePoint lastProgressAt() const override
     {
         return m_request.exchange->receivedAt();
     }
@@ -48,29 +48,29 @@
 private:
     Target *chooseTarget();
     void startAttempt();
-    void takeHead(const HttpHead &head) override;
-    void takeBody(std::string &body) override;
-    void takeEnd() override;
-    void takeFailure(const TargetFailure &failure) override;
+    void handleHead(const HttpHead &head) override;
+    void handleBody(std::string &body) override;
+    void handleEnd() override;
+    void handleFailure(const TargetFailure &failure) override;
     void endAttempt() override;
-    void retryOrEnd(std::string_view reason, bool mayHaveRun, bool isFull);
-    void passOn();
-    bool canRepeat() const override
+    void retryOrEnd(std::string_view reason, bool mayHaveRun, bool isOverloaded);
+    void relayResponse();
+    bool canRetryAfterRun() const override
     {
         return m_request.route->kind == CallKind::Idempotent;
     }
 
     TargetId m_target;
-    std::vector<TargetId> m_failed; ///< targets that are not asked again
-    std::string m_body;             ///< of the answer, held
+    std::vector<TargetId> m_excludedTargets; ///< targets that are not asked again
+    std::string m_bufferedBody;              ///< of the answer, held
     TimePoint m_firstByteAt{};
-    bool m_isPassingOn = false; ///< the answer was too large to hold
-    bool m_isCounted = false;   ///< as open at the target
+    bool m_isRelaying = false; ///< the answer was too large to hold
+    bool m_isCounted = false;  ///< as open at the target
 };
 
 void CallForwarding::begin()
 {
-    followCaller();
+    installCallerHandlers();
     startAttempt();
 }
 
@@ -82,8 +82,8 @@
     double bestCost = 0;
     std::uniform_real_distribution<double> jitter(0, 0.05);
     for (auto &[id, target] : m_context.fleet.targets) {
-        const bool isAsked = std::find(m_failed.begin(), m_failed.end(), id) != m_failed.end();
-        if (target.listed.service != m_request.service->name || target.listed.isDraining || isAsked) {
+        const bool isExcluded = std::find(m_excludedTargets.begin(), m_excludedTargets.end(), id) != m_excludedTargets.end();
+        if (target.listed.service != m_request.service->name || target.listed.isDraining || isExcluded) {
             continue;
         }
         const double open = allOpenRequests(target);
@@ -105,16 +105,16 @@
     Target *target = chooseTarget();
     if (!target) {
         if (m_mayHaveRun) {
-            failRequest(m_context, m_request, "no other target", m_target.value, m_sent);
+            failRequest(m_context, m_request, "no other target", m_target.value, m_attempts);
         } else {
-            refuseRequest(m_context, m_request, {"no target of the service", missingRetryAfter}, m_sent);
+            refuseRequest(m_context, m_request, {"no target of the service", noTargetRetryAfter}, m_attempts);
         }
         return end();
     }
     m_target = target->listed.id;
     ++target->openRequests;
     m_isCounted = true;
-    m_body.clear();
+    m_bufferedBody.clear();
     sendTo(m_target, target->listed.address, {});
 }
 
@@ -127,97 +127,97 @@
     cancelExchange();
 }
 
-void CallForwarding::takeHead(const HttpHead &)
+void CallForwarding::handleHead(const HttpHead &)
 {
     m_firstByteAt = m_context.clock.now();
 }
 
-void CallForwarding::takeBody(std::string &body)
+void CallForwarding::handleBody(std::string &body)
 {
     const HttpHead &head = m_exchange->head();
-    const bool isRelayed = head.status < 300 && isGenuine(m_context.dialect.headers(), head, m_request.attemptId);
-    const bool isHeld = m_request.route->kind != CallKind::Stream && m_body.size() + body.size() <= heldAnswerBytes;
-    if (!m_isPassingOn && (isHeld || !isRelayed)) {
-        if (m_body.size() < heldAnswerBytes) {
-            m_body += body;
+    const bool isRelayed = head.status < 300 && isAuthenticResponse(m_context.dialect.headers(), head, m_request.attemptId);
+    const bool isBuffered = m_request.route->kind != CallKind::Stream && m_bufferedBody.size() + body.size() <= maxBufferedResponseBytes;
+    if (!m_isRelaying && (isBuffered || !isRelayed)) {
+        if (m_bufferedBody.size() < maxBufferedResponseBytes) {
+            m_bufferedBody += body;
         }
         body.clear();
         return;
     }
-    if (!m_isPassingOn) {
-        m_isPassingOn = true;
+    if (!m_isRelaying) {
+        m_isRelaying = true;
         m_request.exchange->begin(head, nullptr);
-        m_request.exchange->send(m_body);
+        m_request.exchange->send(m_bufferedBody);
     }
     m_request.exchange->send(body);
     body.clear();
-    if (m_request.exchange->waiting() > maxWaitingBytes && m_exchange) {
+    if (m_request.exchange->unsentBytes() > maxUnsentBytes && m_exchange) {
         m_exchange->pauseReading(true);
     }
 }
 
-void CallForwarding::takeEnd()
+void CallForwarding::handleEnd()
 {
     const HeaderNames &names = m_context.dialect.headers();
     const HttpHead &head = m_exchange->head();
-    if (m_isPassingOn) {
-        return passOn();
+    if (m_isRelaying) {
+        return relayResponse();
     }
-    if (saysNotExecuted(names, head)) {
-        ++m_sent;
+    if (reportsNotExecuted(names, head)) {
+        ++m_attempts;
         return retryOrEnd("not executed", false, head.status == 503 || head.status == 429);
     }
-    const bool isGood = head.status < 500 && isGenuine(names, head, m_request.attemptId);
-    if (isGood && !promisesNotRun(head.status)) {
+    const bool isAuthenticResult = head.status < 500 && isAuthenticResponse(names, head, m_request.attemptId);
+    if (isAuthenticResult && !guaranteesNotRun(head.status)) {
         if (Target *target = findTarget(m_context.fleet, m_target)) {
             noteSuccess(*target);
         }
-        return passOn();
+        return relayResponse();
     }
-    ++m_sent;
-    const bool canTryAgain = canRepeat() && m_sent < m_request.route->maxAttempts && m_context.clock.now() + shortestAttempt < m_request.deadline;
-    const bool isOwnFailure = head.status >= 500 && !promisesNotRun(head.status) && isGenuine(names, head, m_request.attemptId);
-    if (isOwnFailure && !canTryAgain) {
-        --m_sent;
-        return passOn();
+    ++m_attempts;
+    const bool canRetry = canRetryAfterRun() && m_attempts < m_request.route->maxAttempts && m_context.clock.now() + minAttemptTime < m_request.deadline;
+    const bool isAuthenticFailure = head.status >= 500 && !guaranteesNotRun(head.status) && isAuthenticResponse(names, head, m_request.attemptId);
+    if (isAuthenticFailure && !canRetry) {
+        --m_attempts;
+        return relayResponse();
     }
-    retryOrEnd(isOwnFailure ? "target failed" : "answer is not the target's own", true, false);
+    retryOrEnd(isAuthenticFailure ? "target failed" : "answer is not the target's own", true, false);
 }
 
 /// Gives the caller the target's answer, unchanged.
-void CallForwarding::passOn()
+void CallForwarding::relayResponse()
 {
     const TargetExchangePtr exchange = m_exchange;
-    ++m_sent;
-    if (!m_isPassingOn) {
-        const std::uint64_t length = m_body.size();
+    ++m_attempts;
+    if (!m_isRelaying) {
+        const std::uint64_t length = m_bufferedBody.size();
         m_request.exchange->begin(exchange->head(), &length);
-        m_request.exchange->send(m_body);
+        m_request.exchange->send(m_bufferedBody);
     }
     m_request.exchange->complete();
-    noteServed(m_context, m_request, {exchange->head().status, m_target.value, m_sent, m_firstByteAt, {}});
+    recordServed(m_context, m_request, {exchange->head().status, m_target.value, m_attempts, m_firstByteAt, {}});
     end();
 }
 
-void CallForwarding::takeFailure(const TargetFailure &failure)
+void CallForwarding::handleFailure(const TargetFailure &failure)
 {
     if (failure.mayHaveRun) {
-        ++m_sent;
+        ++m_attempts;
     }
-    if (m_isPassingOn) {
-        failRequest(m_context, m_request, failure.text, m_target.value, m_sent);
+    if (m_isRelaying) {
+        failRequest(m_context, m_request, failure.text, m_target.value, m_attempts);
         return end();
     }
-    if (failure.wasKept && failure.mayHaveRun && !failure.hasAnswered) {
+    if (failure.isReused && failure.mayHaveRun && !failure.hasResponseHead) {
         // The connection was stale: that says nothing of the target.
-        --m_sent;
+        --m_attempts;
         endAttempt();
         if (tryRetry(m_context, m_request.service->name)) {
-            noteRetry(m_context, m_request, "kept connection was stale", m_target.value, m_sent);
+            recordRetry(m_context, m_request, "kept connection was stale", m_target.value, m_attempts);
             return startAttempt();
         }
         m_mayHaveRun = true;
-        failRequest(m_context, m_request, "retry budget spent", m_target.value, m_sent);
+        failRequest(m_context, m_request, "retry budget spent", m_target.value, m_attempts);
         return end();
     }
     avoidTarget(m_context, m_target, failure.text);
@@ -225,33 +225,33 @@
 }
 
 /// After an attempt without an answer for the caller.
-void CallForwarding::retryOrEnd(std::string_view reason, bool mayHaveRun, bool isFull)
+void CallForwarding::retryOrEnd(std::string_view reason, bool mayHaveRun, bool isOverloaded)
 {
     m_mayHaveRun = m_mayHaveRun || mayHaveRun;
-    m_failed.push_back(m_target);
+    m_excludedTargets.push_back(m_target);
     endAttempt();
-    const bool isAllowed = !m_mayHaveRun || canRepeat();
-    const bool hasTime = m_context.clock.now() + shortestAttempt < m_request.deadline;
-    const bool hasAttempts = m_sent < m_request.route->maxAttempts;
+    const bool isAllowed = !m_mayHaveRun || canRetryAfterRun();
+    const bool hasTime = m_context.clock.now() + minAttemptTime < m_request.deadline;
+    const bool hasAttempts = m_attempts < m_request.route->maxAttempts;
     if (isAllowed && hasTime && hasAttempts && tryRetry(m_context, m_request.service->name)) {
-        noteRetry(m_context, m_request, reason, m_target.value, m_sent);
+        recordRetry(m_context, m_request, reason, m_target.value, m_attempts);
         return startAttempt();
     }
     if (m_mayHaveRun) {
-        failRequest(m_context, m_request, reason, m_target.value, m_sent);
+        failRequest(m_context, m_request, reason, m_target.value, m_attempts);
     } else {
-        refuseRequest(m_context, m_request, {reason, isFull ? fullRetryAfter : missingRetryAfter}, m_sent);
+        refuseRequest(m_context, m_request, {reason, isOverloaded ? overloadRetryAfter : noTargetRetryAfter}, m_attempts);
     }
     end();
 }
 
-void CallForwarding::checkTime(TimePoint now)
+void CallForwarding::checkTimeouts(TimePoint now)
 {
     if (m_isOver || now < m_request.deadline) {
         return;
     }
     // What was sent may still run: its connection is closed, but only the target knows.
-    failRequest(m_context, m_request, "time is up", m_target.value, m_sent);
+    failRequest(m_context, m_request, "time is up", m_target.value, m_attempts);
     end();
 }
 
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -13,9 +13,9 @@
 // [SECTION] Session
 
 /// How often time-outs of sessions are looked at; they are seconds long.
-constexpr milliseconds sessionTick{250};
+constexpr milliseconds sessionCheckInterval{250};
 /// Bodies are taken up to this size before memory is reserved for their announced length.
-constexpr std::size_t eagerBodyBytes = 64 * 1024;
+constexpr std::size_t initialBodyReserveBytes = 64 * 1024;
 
 struct CallerSession;
 
@@ -36,14 +36,14 @@
     HttpHead head;
     std::string body;
     TimePoint receivedAt{};
-    std::function<void()> onGone;
+    std::function<void()> onDisconnected;
     std::function<void()> onDrained;
     bool isBegun = false;
     bool isOver = false;
     bool isChunked = false;
     bool closes = false; ///< the connection ends with this answer
 
-    std::shared_ptr<CallerSession> takeSession();
+    std::shared_ptr<CallerSession> detachSession();
 };
 
 /// One connection.
@@ -55,17 +55,17 @@
     bool isReadingBody = false;
     bool isAnswering = false; ///< the exchange was handed on
     TimePoint waitingSince{}; ///< of the first byte of a head, the last part of a body, or the end of an answer
-    bool hasPartOfHead = false;
+    bool hasPartialHead = false;
 
     void start();
-    void takeInput();
-    void takeHead();
-    void takeBody();
+    void handleInput();
+    void handleHead();
+    void handleBody();
     void refuse(int status, std::string_view text);
-    void handOn();
+    void dispatchRequest();
     void finishExchange();
     void end();
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 };
 
 void CallerSession::start()
@@ -73,7 +73,7 @@
     waitingSince = owner->clock.now();
     Connection::Handlers handlers;
     handlers.onInput = [self = shared_from_this()] {
-        self->takeInput();
+        self->handleInput();
     };
     handlers.onEnd = [self = shared_from_this()](ConnectionEnd) {
         self->end();
@@ -87,26 +87,26 @@
     connection->setHandlers(std::move(handlers));
 }
 
-void CallerSession::takeInput()
+void CallerSession::handleInput()
 {
     while (connection->isOpen() && !isAnswering && !connection->input().empty()) {
         const std::size_t before = connection->input().size();
         if (isReadingBody) {
-            takeBody();
+            handleBody();
         } else {
-            takeHead();
+            handleHead();
         }
         if (connection->input().size() == before) {
             break;
         }
     }
-    connection->pauseReading(connection->input().size() > eagerBodyBytes * 4);
+    connection->pauseReading(connection->input().size() > initialBodyReserveBytes * 4);
 }
 
-void CallerSession::takeHead()
+void CallerSession::handleHead()
 {
-    if (!hasPartOfHead) {
-        hasPartOfHead = true;
+    if (!hasPartialHead) {
+        hasPartialHead = true;
         waitingSince = owner->clock.now();
     }
     if (!exchange) {
@@ -125,20 +125,20 @@
     case ParseResult::Complete:
         break;
     }
-    hasPartOfHead = false;
+    hasPartialHead = false;
     const BodyPlan plan = planRequestBody(head);
     if (plan.isAmbiguous) {
         return refuse(400, "ambiguous length of the body");
     }
-    if (plan.reader.framing == BodyFraming::Length && plan.reader.left > owner->limits.maxBodyBytes) {
+    if (plan.reader.framing == BodyFraming::Length && plan.reader.remaining > owner->limits.maxBodyBytes) {
         return refuse(413, "body too large");
     }
     connection->input().erase(0, head.text.size());
     bodyReader = plan.reader;
     if (bodyReader.isComplete) {
-        return handOn();
+        return dispatchRequest();
     }
-    exchange->d->body.reserve(std::min<std::uint64_t>(bodyReader.left, eagerBodyBytes));
+    exchange->d->body.reserve(std::min<std::uint64_t>(bodyReader.remaining, initialBodyReserveBytes));
     isReadingBody = true;
     waitingSince = owner->clock.now();
     if (head.listHas("Expect", "100-continue")) {
@@ -146,7 +146,7 @@
     }
 }
 
-void CallerSession::takeBody()
+void CallerSession::handleBody()
 {
     std::string &body = exchange->d->body;
     const std::size_t used = readBody(bodyReader, connection->input(), body);
@@ -160,7 +160,7 @@
     }
     if (bodyReader.isComplete) {
         isReadingBody = false;
-        handOn();
+        dispatchRequest();
     }
 }
 
@@ -173,13 +173,13 @@
     exchange->reply(status, {}, text);
 }
 
-void CallerSession::handOn()
+void CallerSession::dispatchRequest()
 {
     isAnswering = true;
     ++owner->openExchanges;
     exchange->d->closes = !exchange->d->head.keepsConnection();
-    const CallerExchangePtr handed = exchange;
-    owner->handler(handed);
+    const CallerExchangePtr ready = exchange;
+    owner->handler(ready);
 }
 
 /// The answer is whole: the next request may come.
@@ -190,7 +190,7 @@
     --owner->openExchanges;
     isAnswering = false;
     isReadingBody = false;
-    hasPartOfHead = false;
+    hasPartialHead = false;
     waitingSince = owner->clock.now();
     if (done->d->closes || owner->isDraining) {
         owner->closing.insert(connection);
@@ -203,7 +203,7 @@
     if (!connection->input().empty()) {
         // From the loop, so that answers to requests sent ahead do not pile up on the stack.
         owner->loop.defer([self = shared_from_this()] {
-            self->takeInput();
+            self->handleInput();
         });
     }
 }
@@ -214,24 +214,24 @@
     const auto self = shared_from_this();
     connection->close();
     owner->sessions.erase(self);
-    const CallerExchangePtr cut = std::move(exchange);
+    const CallerExchangePtr aborted = std::move(exchange);
     exchange.reset();
-    if (!cut || !isAnswering) {
+    if (!aborted || !isAnswering) {
         return;
     }
     --owner->openExchanges;
-    cut->d->isOver = true;
-    if (const auto onGone = std::move(cut->d->onGone)) {
-        onGone();
+    aborted->d->isOver = true;
+    if (const auto onDisconnected = std::move(aborted->d->onDisconnected)) {
+        onDisconnected();
     }
 }
 
-void CallerSession::checkTime(TimePoint now)
+void CallerSession::checkTimeouts(TimePoint now)
 {
     if (isAnswering) {
         return;
     }
-    const bool isWaitingForRequest = !hasPartOfHead && !isReadingBody;
+    const bool isWaitingForRequest = !hasPartialHead && !isReadingBody;
     const milliseconds limit = isWaitingForRequest ? owner->limits.idleTimeout : owner->limits.headerTimeout;
     if (now - waitingSince < limit) {
         return;
@@ -247,13 +247,13 @@
 // [SECTION] CallerExchange
 
 /// Ends the exchange's use of its session; null if it was over already. No handler follows.
-std::shared_ptr<CallerSession> CallerExchange::Private::takeSession()
+std::shared_ptr<CallerSession> CallerExchange::Private::detachSession()
 {
     if (isOver) {
         return nullptr;
     }
     isOver = true;
-    onGone = nullptr;
+    onDisconnected = nullptr;
     onDrained = nullptr;
     return session.lock();
 }
@@ -280,9 +280,9 @@
     return d->receivedAt;
 }
 
-void CallerExchange::onGone(std::function<void()> handler)
+void CallerExchange::onDisconnected(std::function<void()> handler)
 {
-    d->onGone = std::move(handler);
+    d->onDisconnected = std::move(handler);
 }
 
 void CallerExchange::onDrained(std::function<void()> handler)
@@ -290,7 +290,7 @@
     d->onDrained = std::move(handler);
 }
 
-void CallerExchange::reply(int status, std::initializer_list<AnswerField> fields, std::string_view body)
+void CallerExchange::reply(int status, std::initializer_list<ResponseField> fields, std::string_view body)
 {
     const auto session = d->session.lock();
     if (d->isOver || d->isBegun || !session) {
@@ -298,7 +298,7 @@
     }
     d->isBegun = true;
     std::string text = absl::StrCat("HTTP/1.1 ", status, " ", reasonPhrase(status), "\r\n");
-    for (const AnswerField &field : fields) {
+    for (const ResponseField &field : fields) {
         text.append(field.name);
         absl::StrAppend(&text, ": ", field.value, "\r\n");
     }
@@ -316,24 +316,24 @@
     complete();
 }
 
-void CallerExchange::begin(const HttpHead &answer, const std::uint64_t *length)
+void CallerExchange::begin(const HttpHead &response, const std::uint64_t *length)
 {
     const auto session = d->session.lock();
     if (d->isOver || d->isBegun || !session) {
         return;
     }
     d->isBegun = true;
-    std::string text(answer.statusLine);
+    std::string text(response.statusLine);
     text += "\r\n";
-    for (const HeadField &field : answer.fields) {
-        if (!isConnectionField(answer, field.name)) {
+    for (const HeadField &field : response.fields) {
+        if (!isConnectionField(response, field.name)) {
             text.append(field.name);
             text += ": ";
             text.append(field.value);
             text += "\r\n";
         }
     }
-    const bool hasBody = answer.status != 204 && answer.status != 304;
+    const bool hasBody = response.status != 204 && response.status != 304;
     d->isChunked = hasBody && !length && d->head.isHttp11;
     if (hasBody && length) {
         absl::StrAppend(&text, "Content-Length: ", *length, "\r\n");
@@ -367,7 +367,7 @@
 
 void CallerExchange::complete()
 {
-    const auto session = d->takeSession();
+    const auto session = d->detachSession();
     if (!session) {
         return;
     }
@@ -377,9 +377,9 @@
     session->finishExchange();
 }
 
-void CallerExchange::cut()
+void CallerExchange::abort()
 {
-    const auto session = d->takeSession();
+    const auto session = d->detachSession();
     if (!session) {
         return;
     }
@@ -405,10 +405,10 @@
     return d->isBegun;
 }
 
-std::size_t CallerExchange::waiting() const
+std::size_t CallerExchange::unsentBytes() const
 {
     const auto session = d->session.lock();
-    return session ? session->connection->waiting() : 0;
+    return session ? session->connection->unsentBytes() : 0;
 }
 
 // [SECTION] CallerSessions
@@ -420,10 +420,10 @@
         const auto sessions = d->sessions;
         const TimePoint now = d->clock.now();
         for (const auto &session : sessions) {
-            session->checkTime(now);
+            session->checkTimeouts(now);
         }
     });
-    d->tick->startRepeating(sessionTick);
+    d->tick->startRepeating(sessionCheckInterval);
 }
 
 CallerSessions::~CallerSessions()
@@ -459,7 +459,7 @@
 {
     const auto sessions = d->sessions;
     for (const auto &session : sessions) {
-        if (!session->isAnswering && !session->hasPartOfHead && !session->isReadingBody) {
+        if (!session->isAnswering && !session->hasPartialHead && !session->isReadingBody) {
             session->connection->close();
             d->sessions.erase(session);
         }
--- a/src/relay/caller_session.h
+++ b/src/relay/caller_session.h
@@ -23,7 +23,7 @@
 };
 
 /// A field of an answer.
-struct AnswerField {
+struct ResponseField {
     std::string_view name; ///< as sent
     std::string value;     ///< as sent
 };
@@ -39,25 +39,25 @@
     /// When the head's first byte was read.
     TimePoint receivedAt() const;
     /// Called once if the caller goes away before the answer is complete.
-    void onGone(std::function<void()> handler);
+    void onDisconnected(std::function<void()> handler);
     /// Called when the caller has taken all bytes given so far.
     void onDrained(std::function<void()> handler);
 
     /// Sends a whole answer of this process's own, with Content-Length.
-    void reply(int status, std::initializer_list<AnswerField> fields, std::string_view body = {});
+    void reply(int status, std::initializer_list<ResponseField> fields, std::string_view body = {});
     /// Sends the head of a relayed answer: the target's status line and fields, and the framing given. `bodyBytes` is sent
     /// with it; without a length the body is chunked, or ends with the connection towards an HTTP/1.0 caller.
-    void begin(const HttpHead &answer, const std::uint64_t *length);
+    void begin(const HttpHead &response, const std::uint64_t *length);
     void send(std::string_view bytes);
     /// The answer is whole.
     void complete();
     /// Breaks the connection, so that the caller sees that the answer is not whole.
-    void cut();
+    void abort();
 
     bool isOpen() const;
     bool isBegun() const;
     /// Bytes that the caller has not taken yet.
-    std::size_t waiting() const;
+    std::size_t unsentBytes() const;
 
 private:
     friend class CallerSessions;
--- a/src/relay/connection.cpp
+++ b/src/relay/connection.cpp
@@ -25,7 +25,7 @@
 constexpr int keepAliveSeconds = 2;
 constexpr int keepAliveProbes = 2;
 constexpr milliseconds lingerTime{1000};          ///< see closeAfterWriting(); longer than a round trip to any caller
-constexpr std::size_t readSize = 64 * 1024;       ///< most bytes taken from a socket in one go
+constexpr std::size_t maxReadBytes = 64 * 1024;   ///< most bytes taken from a socket in one go
 constexpr std::size_t maxInputBytes = 256 * 1024; ///< reading stops while the owner leaves more than this
 
 const char *toString(ConnectionEnd end)
@@ -35,7 +35,7 @@
         return "closed";
     case ConnectionEnd::Reset:
         return "reset";
-    case ConnectionEnd::NotMade:
+    case ConnectionEnd::NotEstablished:
         return "not-made";
     }
     return "unknown";
@@ -72,11 +72,11 @@
     int socket = -1;
     event *readEvent = nullptr;
     event *writeEvent = nullptr;
-    std::unique_ptr<Timer> limit; ///< of connecting, then of closing
+    std::unique_ptr<Timer> timeoutTimer; ///< of connecting, then of closing
     Handlers handlers;
     std::string input;
-    std::string output;       ///< not yet taken by the socket
-    std::size_t outputAt = 0; ///< first byte of `output` that was not sent
+    std::string output;           ///< not yet taken by the socket
+    std::size_t outputOffset = 0; ///< first byte of `output` that was not sent
     bool isConnected = true;
     bool isPaused = false;
     bool isClosing = false; ///< in closeAfterWriting()
@@ -91,7 +91,7 @@
         event_free(writeEvent);
         ::close(socket);
         socket = -1;
-        limit.reset();
+        timeoutTimer.reset();
     }
 };
 
@@ -125,7 +125,7 @@
     const auto onReadable = [](evutil_socket_t, short, void *arg) {
         const auto self = static_cast<Connection *>(arg)->shared_from_this();
         Private &data = *self->d;
-        static std::array<char, readSize> buffer;
+        static std::array<char, maxReadBytes> buffer;
         const ssize_t size = recv(data.socket, buffer.data(), buffer.size(), 0);
         if (size > 0) {
             if (data.isClosing) {
@@ -155,10 +155,10 @@
             socklen_t size = sizeof error;
             getsockopt(data.socket, SOL_SOCKET, SO_ERROR, &error, &size);
             if (error != 0) {
-                return endConnection(*self, data.handlers, ConnectionEnd::NotMade);
+                return endConnection(*self, data.handlers, ConnectionEnd::NotEstablished);
             }
             data.isConnected = true;
-            data.limit->stop();
+            data.timeoutTimer->stop();
             event_add(data.readEvent, nullptr);
             if (data.handlers.onConnected) {
                 const auto onConnected = data.handlers.onConnected;
@@ -171,15 +171,15 @@
     };
     data.readEvent = event_new(loop.base(), socket, EV_READ | EV_PERSIST, onReadable, self);
     data.writeEvent = event_new(loop.base(), socket, EV_WRITE, onWritable, self);
-    data.limit = std::make_unique<Timer>(loop, [self] {
-        const auto keep = self->shared_from_this();
-        endConnection(*self, self->d->handlers, self->d->isConnected ? ConnectionEnd::Reset : ConnectionEnd::NotMade);
+    data.timeoutTimer = std::make_unique<Timer>(loop, [self] {
+        const auto keepSelf = self->shared_from_this();
+        endConnection(*self, self->d->handlers, self->d->isConnected ? ConnectionEnd::Reset : ConnectionEnd::NotEstablished);
     });
     event_add(data.readEvent, nullptr);
     return connection;
 }
 
-std::shared_ptr<Connection> Connection::connect(EventLoop &loop, const Address &address, milliseconds limit)
+std::shared_ptr<Connection> Connection::connect(EventLoop &loop, const Address &address, milliseconds timeout)
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (socket < 0) {
@@ -191,7 +191,7 @@
     event_del(data.readEvent);
     const sockaddr_in target = socketAddress(address);
     const int result = ::connect(socket, reinterpret_cast<const sockaddr *>(&target), sizeof target);
-    data.limit->start(result != 0 && errno != EINPROGRESS ? milliseconds(0) : limit);
+    data.timeoutTimer->start(result != 0 && errno != EINPROGRESS ? milliseconds(0) : timeout);
     event_add(data.writeEvent, nullptr);
     return connection;
 }
@@ -211,9 +211,9 @@
     if (d->socket < 0) {
         return;
     }
-    if (waiting() > 0 || !d->isConnected) {
+    if (unsentBytes() > 0 || !d->isConnected) {
         d->output.append(bytes);
-        bytes = std::string_view(d->output).substr(d->outputAt);
+        bytes = std::string_view(d->output).substr(d->outputOffset);
     }
     std::size_t sent = 0;
     if (!bytes.empty() && d->isConnected) {
@@ -222,19 +222,19 @@
         sent = size > 0 ? size : 0;
         d->hasWritten = d->hasWritten || sent > 0;
     }
-    const bool wasWaiting = waiting() > 0;
+    const bool wasWaiting = unsentBytes() > 0;
     if (wasWaiting) {
-        d->outputAt += sent;
+        d->outputOffset += sent;
     } else if (sent < bytes.size()) {
         d->output.assign(bytes.substr(sent));
-        d->outputAt = 0;
+        d->outputOffset = 0;
     }
-    if (waiting() > 0) {
+    if (unsentBytes() > 0) {
         event_add(d->writeEvent, nullptr);
         return;
     }
     d->output.clear();
-    d->outputAt = 0;
+    d->outputOffset = 0;
     if (d->isClosing) {
         shutdown(d->socket, SHUT_WR);
     } else if (wasWaiting && d->handlers.onDrained) {
@@ -243,9 +243,9 @@
     }
 }
 
-std::size_t Connection::waiting() const
+std::size_t Connection::unsentBytes() const
 {
-    return d->output.size() - d->outputAt;
+    return d->output.size() - d->outputOffset;
 }
 
 bool Connection::hasWritten() const
@@ -253,7 +253,7 @@
     return d->hasWritten;
 }
 
-void Connection::markWrites()
+void Connection::resetHasWritten()
 {
     d->hasWritten = false;
 }
@@ -310,8 +310,8 @@
         onClosed();
     };
     pauseReading(false);
-    d->limit->start(lingerTime);
-    if (waiting() == 0) {
+    d->timeoutTimer->start(lingerTime);
+    if (unsentBytes() == 0) {
         shutdown(d->socket, SHUT_WR);
     }
 }
@@ -321,7 +321,7 @@
 struct Listener::Private {
     EventLoop &loop;
     Handler handler;
-    evconnlistener *raw = nullptr;
+    evconnlistener *listener = nullptr;
 };
 
 constexpr int listenBacklog = 512; ///< connections that wait to be accepted: all callers of a data centre coming back at once
@@ -343,8 +343,8 @@
         static_cast<Private *>(arg)->handler(socket);
     };
     const unsigned flags = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE;
-    d->raw = evconnlistener_new_bind(d->loop.base(), onAccept, d.get(), flags, listenBacklog, reinterpret_cast<const sockaddr *>(&local), sizeof local);
-    if (!d->raw) {
+    d->listener = evconnlistener_new_bind(d->loop.base(), onAccept, d.get(), flags, listenBacklog, reinterpret_cast<const sockaddr *>(&local), sizeof local);
+    if (!d->listener) {
         return fail("listen", address.toString(), std::strerror(errno));
     }
     return {};
@@ -352,13 +352,13 @@
 
 void Listener::setAccepting(bool isAccepting)
 {
-    if (!d->raw) {
+    if (!d->listener) {
         return;
     }
     if (isAccepting) {
-        evconnlistener_enable(d->raw);
+        evconnlistener_enable(d->listener);
     } else {
-        evconnlistener_disable(d->raw);
+        evconnlistener_disable(d->listener);
     }
 }
 
@@ -366,15 +366,15 @@
 {
     sockaddr_in local{};
     socklen_t size = sizeof local;
-    getsockname(evconnlistener_get_fd(d->raw), reinterpret_cast<sockaddr *>(&local), &size);
+    getsockname(evconnlistener_get_fd(d->listener), reinterpret_cast<sockaddr *>(&local), &size);
     return ntohs(local.sin_port);
 }
 
 void Listener::close()
 {
-    if (d->raw) {
-        evconnlistener_free(d->raw);
-        d->raw = nullptr;
+    if (d->listener) {
+        evconnlistener_free(d->listener);
+        d->listener = nullptr;
     }
 }
 
--- a/src/relay/connection.h
+++ b/src/relay/connection.h
@@ -18,9 +18,9 @@
 
 /// How a connection ended.
 enum class ConnectionEnd : std::uint8_t {
-    PeerClosed, ///< the peer closed it in order
-    Reset,      ///< reset, or failed otherwise
-    NotMade     ///< it was never established
+    PeerClosed,    ///< the peer closed it in order
+    Reset,         ///< reset, or failed otherwise
+    NotEstablished ///< it was never established
 };
 const char *toString(ConnectionEnd end);
 
@@ -38,7 +38,7 @@
     /// Takes over an accepted socket.
     static std::shared_ptr<Connection> adopt(EventLoop &loop, int socket);
     /// Begins a connection; onEnd tells NotMade if it fails or takes longer than `limit`.
-    static std::shared_ptr<Connection> connect(EventLoop &loop, const Address &address, milliseconds limit);
+    static std::shared_ptr<Connection> connect(EventLoop &loop, const Address &address, milliseconds timeout);
     ~Connection();
 
     void setHandlers(Handlers handlers);
@@ -46,10 +46,10 @@
     std::string &input();
     void write(std::string_view bytes);
     /// Bytes that the socket has not taken yet.
-    std::size_t waiting() const;
+    std::size_t unsentBytes() const;
     /// Whether any byte was handed to the socket since markWrites().
     bool hasWritten() const;
-    void markWrites();
+    void resetHasWritten();
     void pauseReading(bool isPaused);
     bool isConnected() const;
     bool isOpen() const;
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -40,7 +40,7 @@
     const Clock &clock;
     const Dialect &dialect;
     const RelaySettings &settings;
-    TargetConnections connections;
+    TargetConnectionPool connections;
     Fleet fleet{};
     std::shared_ptr<const RouteTable> routes{}; ///< in force; null until one is known
     std::unordered_map<ServiceName, RetryBudget> retryBudgets{};
--- a/src/relay/forwarded_request.cpp
+++ b/src/relay/forwarded_request.cpp
@@ -21,10 +21,11 @@
 }
 
 /// Whether a field of the caller is left out: the relay sets it, or targets must not see it.
-static bool isOwnField(const HeaderNames &names, std::string_view name)
+static bool isRelayField(const HeaderNames &names, std::string_view name)
 {
-    const std::string_view own[] = {names.deadline, names.workspace, names.expectedTarget, names.chain, names.requestPriority, "Authorization", "Expect"};
-    return std::any_of(std::begin(own), std::end(own), [name](std::string_view field) {
+    const std::string_view relayFields[] = {names.deadline,  names.workspace, names.expectedTarget, names.chain, names.requestPriority,
+                                            "Authorization", "Expect"};
+    return std::any_of(std::begin(relayFields), std::end(relayFields), [name](std::string_view field) {
         return equalsIgnoringCase(field, name);
     });
 }
@@ -37,7 +38,7 @@
     bytes += "\r\n";
 }
 
-std::string requestBytes(const RelayContext &context, const ForwardedRequest &request, const TargetId &target, const std::vector<AddedField> &added)
+std::string serializeRequest(const RelayContext &context, const ForwardedRequest &request, const TargetId &target, const std::vector<AddedField> &added)
 {
     const HeaderNames &names = context.dialect.headers();
     const HttpHead &head = request.exchange->head();
@@ -49,12 +50,12 @@
         const bool isReplaced = std::any_of(added.begin(), added.end(), [&](const AddedField &other) {
             return equalsIgnoringCase(other.name, field.name);
         });
-        if (!isConnectionField(head, field.name) && !isOwnField(names, field.name) && !isReplaced) {
+        if (!isConnectionField(head, field.name) && !isRelayField(names, field.name) && !isReplaced) {
             appendField(bytes, field.name, field.value);
         }
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(request.deadline - context.clock.now());
-    appendField(bytes, names.deadline, std::to_string(std::max<std::int64_t>(left.count(), 1)));
+    const auto timeLeft = std::chrono::duration_cast<milliseconds>(request.deadline - context.clock.now());
+    appendField(bytes, names.deadline, std::to_string(std::max<std::int64_t>(timeLeft.count(), 1)));
     appendField(bytes, names.expectedTarget, target.value);
     if (!request.workspace.isEmpty()) {
         appendField(bytes, names.workspace, request.workspace.value);
@@ -70,11 +71,11 @@
     return bytes;
 }
 
-milliseconds clampedRetryAfter(milliseconds wanted, milliseconds left)
+milliseconds clampedRetryAfter(milliseconds wanted, milliseconds timeLeft)
 {
-    constexpr double usablePart = 0.3; // callers wait for up to a third of the time they have left
-    const milliseconds most{static_cast<std::int64_t>(static_cast<double>(left.count()) * usablePart)};
-    return std::clamp(wanted, milliseconds(1), std::max(most, milliseconds(1)));
+    constexpr double usableShare = 0.3; // callers wait for up to a third of the time they have left
+    const milliseconds maxRetryAfter{static_cast<std::int64_t>(static_cast<double>(timeLeft.count()) * usableShare)};
+    return std::clamp(wanted, milliseconds(1), std::max(maxRetryAfter, milliseconds(1)));
 }
 
 void refuseRequest(RelayContext &context, const ForwardedRequest &request, const Refusal &refusal, int attempts)
@@ -98,8 +99,8 @@
 {
     ++context.metrics.failed;
     const TimePoint now = context.clock.now();
-    const bool isLate = now >= request.deadline;
-    const int status = request.exchange->isBegun() ? 0 : isLate ? 504 : 502;
+    const bool isDeadlineOver = now >= request.deadline;
+    const int status = request.exchange->isBegun() ? 0 : isDeadlineOver ? 504 : 502;
     logEvent(Event::RequestFailed, {{"id", request.attemptId},
                                     {"route", request.route->name},
                                     {"workspace", request.workspace.value},
@@ -110,30 +111,30 @@
                                     {"total_ms", millisecondsText(request.exchange->receivedAt(), now)},
                                     {"configuration", versionText(request)}});
     if (status == 0) {
-        request.exchange->cut();
+        request.exchange->abort();
     } else {
         request.exchange->reply(status, {}, reason);
     }
 }
 
-void noteServed(RelayContext &context, const ForwardedRequest &request, const ServedAnswer &answer)
+void recordServed(RelayContext &context, const ForwardedRequest &request, const ServedResponse &response)
 {
     ++context.metrics.served;
     const TimePoint receivedAt = request.exchange->receivedAt();
-    context.metrics.firstByte.record(std::chrono::duration<double>(answer.firstByteAt - receivedAt).count());
+    context.metrics.firstByte.record(std::chrono::duration<double>(response.firstByteAt - receivedAt).count());
     logEvent(Event::RequestServed, {{"id", request.attemptId},
                                     {"route", request.route->name},
                                     {"workspace", request.workspace.value},
-                                    {"target", answer.target},
-                                    {"status", std::to_string(answer.status)},
-                                    {"attempts", std::to_string(answer.attempts)},
-                                    {"first_ms", millisecondsText(receivedAt, answer.firstByteAt)},
-                                    {"gap_ms", std::to_string(answer.longestGap.count())},
+                                    {"target", response.target},
+                                    {"status", std::to_string(response.status)},
+                                    {"attempts", std::to_string(response.attempts)},
+                                    {"first_ms", millisecondsText(receivedAt, response.firstByteAt)},
+                                    {"gap_ms", std::to_string(response.longestGap.count())},
                                     {"total_ms", millisecondsText(receivedAt, context.clock.now())},
                                     {"configuration", versionText(request)}});
 }
 
-void noteCallerGone(RelayContext &context, const ForwardedRequest &request, int attempts)
+void recordCallerDisconnected(RelayContext &context, const ForwardedRequest &request, int attempts)
 {
     ++context.metrics.callersGone;
     logEvent(Event::CallerGone, {{"id", request.attemptId},
@@ -142,7 +143,7 @@
                                  {"after_ms", millisecondsText(request.exchange->receivedAt(), context.clock.now())}});
 }
 
-void noteRetry(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts)
+void recordRetry(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts)
 {
     ++context.metrics.retries;
     logEvent(Event::RequestRetried, {{"id", request.attemptId},
@@ -152,17 +153,17 @@
                                      {"after_ms", millisecondsText(request.exchange->receivedAt(), context.clock.now())}});
 }
 
-bool saysNotExecuted(const HeaderNames &names, const HttpHead &head)
+bool reportsNotExecuted(const HeaderNames &names, const HttpHead &head)
 {
     return head.status == 421 || (head.status >= 400 && head.has(names.notExecuted));
 }
 
-bool isGenuine(const HeaderNames &names, const HttpHead &head, const std::string &attemptId)
+bool isAuthenticResponse(const HeaderNames &names, const HttpHead &head, const std::string &attemptId)
 {
     return head.find(names.attemptId) == attemptId && head.has(names.seal) && !head.has("Content-Encoding");
 }
 
-bool promisesNotRun(int status)
+bool guaranteesNotRun(int status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/src/relay/forwarded_request.h
+++ b/src/relay/forwarded_request.h
@@ -20,7 +20,7 @@
 };
 
 /// What is logged of a whole answer.
-struct ServedAnswer {
+struct ServedResponse {
     int status = 0;             ///< of the target
     std::string target;         ///< that answered; of a stream the first engine of the last chain
     int attempts = 0;           ///< targets that the request was sent to
@@ -30,24 +30,24 @@
 
 /// Bytes of the request for a target. Fields of one connection, the caller's key and fields that the relay sets itself
 /// are left out.
-std::string requestBytes(const RelayContext &context, const ForwardedRequest &request, const TargetId &target, const std::vector<AddedField> &added);
+std::string serializeRequest(const RelayContext &context, const ForwardedRequest &request, const TargetId &target, const std::vector<AddedField> &added);
 
 /// A time after which a caller that still waits for `left` can come back: one told a longer time does not come back at all.
-milliseconds clampedRetryAfter(milliseconds wanted, milliseconds left);
+milliseconds clampedRetryAfter(milliseconds wanted, milliseconds timeLeft);
 /// Refuses a request that has certainly not run and will not: 503 with Retry-After.
 void refuseRequest(RelayContext &context, const ForwardedRequest &request, const Refusal &refusal, int attempts);
 /// Answers a request that may have run: 504 if its time is up, else 502; cuts the answer if it was begun.
 void failRequest(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts);
 /// Logs and counts a request that was answered whole.
-void noteServed(RelayContext &context, const ForwardedRequest &request, const ServedAnswer &answer);
-void noteCallerGone(RelayContext &context, const ForwardedRequest &request, int attempts);
-void noteRetry(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts);
+void recordServed(RelayContext &context, const ForwardedRequest &request, const ServedResponse &response);
+void recordCallerDisconnected(RelayContext &context, const ForwardedRequest &request, int attempts);
+void recordRetry(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts);
 
 /// Whether an answer tells that the target did not run the request.
-bool saysNotExecuted(const HeaderNames &names, const HttpHead &head);
+bool reportsNotExecuted(const HeaderNames &names, const HttpHead &head);
 /// Whether an answer is the target's own: id echoed, seal there, body as the target made it.
-bool isGenuine(const HeaderNames &names, const HttpHead &head, const std::string &attemptId);
+bool isAuthenticResponse(const HeaderNames &names, const HttpHead &head, const std::string &attemptId);
 /// Whether a status promises that the request has not run and never will.
-bool promisesNotRun(int status);
+bool guaranteesNotRun(int status);
 
 } // namespace Parsleytrail
--- a/src/relay/forwarding.h
+++ b/src/relay/forwarding.h
@@ -36,32 +36,32 @@
     virtual ~Forwarding() = default;
     virtual void begin() = 0;
     /// Called every forwardingTick.
-    virtual void checkTime(TimePoint now) = 0;
+    virtual void checkTimeouts(TimePoint now) = 0;
     /// A target was found to be dead: what waits for it is moved.
-    virtual void noteDeadTarget(const TargetId &id) = 0;
+    virtual void handleFailedTarget(const TargetId &id) = 0;
     /// Called every leaveCheckInterval: leaves engines of its chain that are about to go.
-    virtual void leaveGoingEngines() = 0;
+    virtual void moveOffLeavingEngines() = 0;
     virtual bool isOver() const = 0;
     /// Lets go of caller and target without a word: the relay is being destroyed. They hold each other otherwise.
     virtual void abandon() = 0;
     /// Engines that the request passes through now; empty if it waits for no engine.
     virtual const std::vector<ChainPart> &chain() const = 0;
     /// When it last got on: the start of the attempt or its last event.
-    virtual TimePoint progressAt() const = 0;
+    virtual TimePoint lastProgressAt() const = 0;
 };
 using ForwardingPtr = std::shared_ptr<Forwarding>;
 
 /// How often time-outs and stalls of requests are looked at; an eighth of the shortest pause that matters.
-constexpr milliseconds forwardingTick{25};
+constexpr milliseconds forwardingCheckInterval{25};
 
 /// How often streams look whether an engine of their chain is draining or gives up their layers: several times within the
 /// shortest notice, which is seconds.
-constexpr milliseconds leaveCheckInterval{200};
+constexpr milliseconds leavingEngineCheckInterval{200};
 
 /// Callbacks of a forwarding to its relay.
 struct ForwardingHooks {
     /// Asks an engine for a report: what it holds, and which engine the requests that it began wait for.
-    std::function<void(const TargetId &engine)> askEngine;
+    std::function<void(const TargetId &engine)> requestEngineReport;
     /// Tells a request's first engine to go on through another chain; calls back whether it does.
     std::function<void(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done)> moveStream;
 };
--- a/src/relay/http_message.cpp
+++ b/src/relay/http_message.cpp
@@ -17,9 +17,9 @@
 
 static bool isTokenChar(char c)
 {
-    static constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
+    static constexpr std::string_view symbols = "!#$%&'*+-.^_`|~";
     const bool isAlphanumeric = (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
-    return isAlphanumeric || marks.find(c) != std::string_view::npos;
+    return isAlphanumeric || symbols.find(c) != std::string_view::npos;
 }
 
 static bool isToken(std::string_view text)
@@ -28,7 +28,7 @@
 }
 
 /// Whether a field value or a request target holds no control character that ends or splits lines elsewhere.
-static bool isVisible(std::string_view text, bool allowsBlanks)
+static bool isPrintable(std::string_view text, bool allowsBlanks)
 {
     return std::all_of(text.begin(), text.end(), [allowsBlanks](char c) {
         const auto byte = static_cast<unsigned char>(c);
@@ -58,7 +58,7 @@
     });
 }
 
-static bool listHolds(std::string_view list, std::string_view word)
+static bool listContains(std::string_view list, std::string_view word)
 {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
@@ -73,7 +73,7 @@
 bool HttpHead::listHas(std::string_view name, std::string_view word) const
 {
     return std::any_of(fields.begin(), fields.end(), [&](const HeadField &field) {
-        return equalsIgnoringCase(field.name, name) && listHolds(field.value, word);
+        return equalsIgnoringCase(field.name, name) && listContains(field.value, word);
     });
 }
 
@@ -86,7 +86,7 @@
 }
 
 /// Finds the end of the head; copies it into `head` if it is there.
-static ParseResult takeText(std::string_view input, std::size_t maxBytes, HttpHead &head)
+static ParseResult extractHeadText(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
     const std::size_t end = input.find("\r\n\r\n");
     if (end == std::string_view::npos) {
@@ -102,10 +102,10 @@
 
 static bool parseFields(HttpHead &head, std::size_t from)
 {
-    std::string_view rest = std::string_view(head.text).substr(from);
+    std::string_view remainder = std::string_view(head.text).substr(from);
     while (true) {
-        const std::size_t end = rest.find("\r\n");
-        const std::string_view line = rest.substr(0, end);
+        const std::size_t end = remainder.find("\r\n");
+        const std::string_view line = remainder.substr(0, end);
         if (line.empty()) {
             return true;
         }
@@ -114,11 +114,11 @@
             return false;
         }
         const std::string_view value = trimmed(line.substr(colon + 1));
-        if (!isVisible(value, true)) {
+        if (!isPrintable(value, true)) {
             return false;
         }
         head.fields.push_back({line.substr(0, colon), value});
-        rest = rest.substr(end + 2);
+        remainder = remainder.substr(end + 2);
     }
 }
 
@@ -130,9 +130,9 @@
 
 ParseResult parseRequestHead(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
-    const ParseResult taken = takeText(input, maxBytes, head);
-    if (taken != ParseResult::Complete) {
-        return taken;
+    const ParseResult result = extractHeadText(input, maxBytes, head);
+    if (result != ParseResult::Complete) {
+        return result;
     }
     const std::size_t lineEnd = head.text.find("\r\n");
     const std::string_view line = std::string_view(head.text).substr(0, lineEnd);
@@ -144,20 +144,20 @@
     head.method = line.substr(0, firstBlank);
     head.target = line.substr(firstBlank + 1, lastBlank - firstBlank - 1);
     const bool isRequest =
-        isToken(head.method) && head.target.starts_with('/') && isVisible(head.target, false) && parseVersion(line.substr(lastBlank + 1), head.isHttp11);
+        isToken(head.method) && head.target.starts_with('/') && isPrintable(head.target, false) && parseVersion(line.substr(lastBlank + 1), head.isHttp11);
     return isRequest && parseFields(head, lineEnd + 2) ? ParseResult::Complete : ParseResult::Malformed;
 }
 
-ParseResult parseAnswerHead(std::string_view input, std::size_t maxBytes, HttpHead &head)
+ParseResult parseResponseHead(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
     // Bytes that can't become an answer are found at once: a target that sends no HTTP would be waited for otherwise.
-    static constexpr std::string_view start = "HTTP/1.";
-    if (input.substr(0, start.size()) != start.substr(0, input.size())) {
+    static constexpr std::string_view httpPrefix = "HTTP/1.";
+    if (input.substr(0, httpPrefix.size()) != httpPrefix.substr(0, input.size())) {
         return ParseResult::Malformed;
     }
-    const ParseResult taken = takeText(input, maxBytes, head);
-    if (taken != ParseResult::Complete) {
-        return taken;
+    const ParseResult result = extractHeadText(input, maxBytes, head);
+    if (result != ParseResult::Complete) {
+        return result;
     }
     const std::size_t lineEnd = head.text.find("\r\n");
     head.statusLine = std::string_view(head.text).substr(0, lineEnd);
@@ -170,7 +170,7 @@
 // [SECTION] Bodies
 
 /// Framing by fields; `hasNeither` if there is none of them.
-static BodyPlan planBody(const HttpHead &head, bool &hasNeither)
+static BodyPlan planBody(const HttpHead &head, bool &hasNoFraming)
 {
     BodyPlan plan;
     int lengths = 0;
@@ -186,8 +186,8 @@
             encoding = field.value;
         }
     }
-    hasNeither = lengths + encodings == 0;
-    if (hasNeither) {
+    hasNoFraming = lengths + encodings == 0;
+    if (hasNoFraming) {
         return plan;
     }
     if (lengths + encodings > 1) {
@@ -200,31 +200,31 @@
         const bool isNumber = !length.empty() && length.size() <= maxDigits && std::all_of(length.begin(), length.end(), [](char c) {
             return c >= '0' && c <= '9';
         });
-        plan.isAmbiguous = !isNumber || !parseNumber(length, plan.reader.left);
+        plan.isAmbiguous = !isNumber || !parseNumber(length, plan.reader.remaining);
         plan.reader.framing = BodyFraming::Length;
-        plan.reader.isComplete = plan.reader.left == 0;
+        plan.reader.isComplete = plan.reader.remaining == 0;
     }
     return plan;
 }
 
 BodyPlan planRequestBody(const HttpHead &head)
 {
-    bool hasNeither = false;
-    BodyPlan plan = planBody(head, hasNeither);
-    if (hasNeither) {
+    bool hasNoFraming = false;
+    BodyPlan plan = planBody(head, hasNoFraming);
+    if (hasNoFraming) {
         plan.reader.isComplete = true;
     }
     return plan;
 }
 
-BodyPlan planAnswerBody(const HttpHead &head, bool isHead)
+BodyPlan planResponseBody(const HttpHead &head, bool isHead)
 {
-    bool hasNeither = false;
-    BodyPlan plan = planBody(head, hasNeither);
+    bool hasNoFraming = false;
+    BodyPlan plan = planBody(head, hasNoFraming);
     if (isHead || head.status < 200 || head.status == 204 || head.status == 304) {
         plan.reader = BodyReader();
         plan.reader.isComplete = true;
-    } else if (hasNeither) {
+    } else if (hasNoFraming) {
         plan.reader.framing = BodyFraming::UntilClose;
     }
     return plan;
@@ -241,13 +241,13 @@
     const std::string_view line = input.substr(0, end);
     const std::string_view digits = trimmed(line.substr(0, line.find(';')));
     constexpr std::size_t maxDigits = 12; // far above any limit on bodies, far below overflow
-    const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), reader.left, 16);
+    const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), reader.remaining, 16);
     if (error != std::errc() || stop != digits.data() + digits.size() || digits.size() > maxDigits) {
         reader.isMalformed = true;
         return 0;
     }
-    reader.isInChunk = reader.left > 0;
-    reader.isInTrailer = reader.left == 0;
+    reader.isInChunk = reader.remaining > 0;
+    reader.isInTrailer = reader.remaining == 0;
     return end + 2;
 }
 
@@ -265,10 +265,10 @@
 
 static std::size_t readChunkData(BodyReader &reader, std::string_view input, std::string &out)
 {
-    if (reader.left > 0) {
-        const std::size_t size = std::min<std::uint64_t>(reader.left, input.size());
+    if (reader.remaining > 0) {
+        const std::size_t size = std::min<std::uint64_t>(reader.remaining, input.size());
         out.append(input.substr(0, size));
-        reader.left -= size;
+        reader.remaining -= size;
         return size;
     }
     if (input == "\r") {
@@ -283,10 +283,10 @@
 {
     std::size_t used = 0;
     while (!reader.isComplete && !reader.isMalformed && used < input.size()) {
-        const std::string_view rest = input.substr(used);
-        const std::size_t step = reader.isInChunk     ? readChunkData(reader, rest, out)
-                                 : reader.isInTrailer ? readTrailerLine(reader, rest)
-                                                      : readChunkLine(reader, rest);
+        const std::string_view remainder = input.substr(used);
+        const std::size_t step = reader.isInChunk     ? readChunkData(reader, remainder, out)
+                                 : reader.isInTrailer ? readTrailerLine(reader, remainder)
+                                                      : readChunkLine(reader, remainder);
         if (step == 0) {
             break;
         }
@@ -303,11 +303,11 @@
     if (reader.framing == BodyFraming::Chunked) {
         return readChunked(reader, input, out);
     }
-    const std::size_t size = reader.framing == BodyFraming::Length ? std::min<std::uint64_t>(reader.left, input.size()) : input.size();
+    const std::size_t size = reader.framing == BodyFraming::Length ? std::min<std::uint64_t>(reader.remaining, input.size()) : input.size();
     out.append(input.substr(0, size));
     if (reader.framing == BodyFraming::Length) {
-        reader.left -= size;
-        reader.isComplete = reader.left == 0;
+        reader.remaining -= size;
+        reader.isComplete = reader.remaining == 0;
     }
     return size;
 }
@@ -345,14 +345,14 @@
     const std::size_t size = end < endCrLf ? end + 2 : endCrLf + 4;
     event = StreamEvent();
     event.bytes = input.substr(0, size);
-    std::string_view rest = event.bytes;
-    while (!rest.empty()) {
-        const std::size_t lineEnd = rest.find('\n');
-        std::string_view line = rest.substr(0, lineEnd);
+    std::string_view remainder = event.bytes;
+    while (!remainder.empty()) {
+        const std::size_t lineEnd = remainder.find('\n');
+        std::string_view line = remainder.substr(0, lineEnd);
         if (consumePrefix(line, "id:")) {
             event.hasId = parseNumber(trimmed(line), event.id);
         }
-        rest = lineEnd == std::string_view::npos ? std::string_view() : rest.substr(lineEnd + 1);
+        remainder = lineEnd == std::string_view::npos ? std::string_view() : remainder.substr(lineEnd + 1);
     }
     return ParseResult::Complete;
 }
--- a/src/relay/http_message.h
+++ b/src/relay/http_message.h
@@ -60,7 +60,7 @@
 
 /// Reads a head from the start of `input` and copies it; does not consume it: head.text.size() bytes are the caller's to drop.
 ParseResult parseRequestHead(std::string_view input, std::size_t maxBytes, HttpHead &head);
-ParseResult parseAnswerHead(std::string_view input, std::size_t maxBytes, HttpHead &head);
+ParseResult parseResponseHead(std::string_view input, std::size_t maxBytes, HttpHead &head);
 
 /// How the end of a body is told.
 enum class BodyFraming : std::uint8_t {
@@ -73,11 +73,11 @@
 /// Progress through a body.
 struct BodyReader {
     BodyFraming framing = BodyFraming::None;
-    std::uint64_t left = 0;   ///< bytes left of the body, or of the current chunk
-    bool isInChunk = false;   ///< chunked: `left` bytes of data, then a line end, follow
-    bool isInTrailer = false; ///< chunked: the last chunk was read
-    bool isComplete = false;  ///< nothing of the body is missing
-    bool isMalformed = false; ///< framing is broken; the connection can't be used any more
+    std::uint64_t remaining = 0; ///< bytes left of the body, or of the current chunk
+    bool isInChunk = false;      ///< chunked: `left` bytes of data, then a line end, follow
+    bool isInTrailer = false;    ///< chunked: the last chunk was read
+    bool isComplete = false;     ///< nothing of the body is missing
+    bool isMalformed = false;    ///< framing is broken; the connection can't be used any more
 };
 
 /// A body reader, or that the head is ambiguous.
@@ -87,7 +87,7 @@
 };
 BodyPlan planRequestBody(const HttpHead &head);
 /// `isHead`: the request was HEAD, whose answers have no body.
-BodyPlan planAnswerBody(const HttpHead &head, bool isHead);
+BodyPlan planResponseBody(const HttpHead &head, bool isHead);
 /// Takes body bytes from `input` and appends them to `out`; returns the bytes of `input` that were used.
 std::size_t readBody(BodyReader &reader, std::string_view input, std::string &out);
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -177,7 +177,7 @@
     const TimePoint now = context.clock.now();
     const std::vector<ForwardingPtr> open = forwardings;
     for (const ForwardingPtr &forwarding : open) {
-        forwarding->checkTime(now);
+        forwarding->checkTimeouts(now);
     }
     std::erase_if(forwardings, [](const ForwardingPtr &forwarding) {
         return forwarding->isOver();
@@ -193,8 +193,8 @@
     const milliseconds threshold = stallThreshold(context);
     std::vector<Forwarding *> stalled;
     for (const ForwardingPtr &forwarding : open) {
-        const bool isStalled = !forwarding->isOver() && !forwarding->chain().empty() && now - forwarding->progressAt() >= threshold;
-        if (isStalled && now - forwarding->progressAt() < threshold + suspectWindow) {
+        const bool isStalled = !forwarding->isOver() && !forwarding->chain().empty() && now - forwarding->lastProgressAt() >= threshold;
+        if (isStalled && now - forwarding->lastProgressAt() < threshold + suspectWindow) {
             stalled.push_back(forwarding.get());
         }
     }
@@ -205,7 +205,7 @@
     for (const ForwardingPtr &forwarding : open) {
         for (const ChainPart &part : forwarding->chain()) {
             TimePoint &at = passedAt[part.id];
-            at = std::max(at, forwarding->progressAt());
+            at = std::max(at, forwarding->lastProgressAt());
         }
     }
     for (const Forwarding *forwarding : stalled) {
@@ -230,7 +230,7 @@
 void Relay::Private::moveFrom(const TargetId &dead)
 {
     for (const ForwardingPtr &forwarding : std::vector<ForwardingPtr>(forwardings)) {
-        forwarding->noteDeadTarget(dead);
+        forwarding->handleFailedTarget(dead);
     }
 }
 
@@ -334,7 +334,7 @@
 }
 
 Relay::Relay(EventLoop &loop, const Clock &clock, const Dialect &dialect, const RelaySettings &settings)
-    : d(new Private{{loop, clock, dialect, settings, TargetConnections(loop, clock)}, HttpClient(loop), {}})
+    : d(new Private{{loop, clock, dialect, settings, TargetConnectionPool(loop, clock)}, HttpClient(loop), {}})
 {
     Private &data = *d;
     data.context.entryCount.startedAt = clock.now();
@@ -351,7 +351,7 @@
     });
     data.leaveTick = std::make_unique<Timer>(loop, [&data] {
         for (const ForwardingPtr &forwarding : std::vector<ForwardingPtr>(data.forwardings)) {
-            forwarding->leaveGoingEngines();
+            forwarding->moveOffLeavingEngines();
         }
     });
     data.drainTimer = std::make_unique<Timer>(loop, [&data] {
@@ -375,7 +375,7 @@
     data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done) {
         data.moveStream(attemptId, chain, std::move(done));
     };
-    data.hooks.askEngine = [&data](const TargetId &first) {
+    data.hooks.requestEngineReport = [&data](const TargetId &first) {
         data.prober->ask(first);
     };
 }
@@ -459,8 +459,8 @@
     data.lease->start();
     data.prober->start();
     data.placement->start();
-    data.tick->startRepeating(forwardingTick);
-    data.leaveTick->startRepeating(leaveCheckInterval);
+    data.tick->startRepeating(forwardingCheckInterval);
+    data.leaveTick->startRepeating(leavingEngineCheckInterval);
     data.budgetTimer->startRepeating(budgetTick);
     logEvent(Event::ProcessStarted,
              {{"id", settings.id}, {"callers", settings.callerAddress}, {"data_center", settings.dataCenter}, {"version", PARSLEYTRAIL_VERSION}});
--- a/src/relay/target_exchange.cpp
+++ b/src/relay/target_exchange.cpp
@@ -12,48 +12,48 @@
 
 // [SECTION] Kept connections
 
-constexpr milliseconds connectTimeout{1000};          ///< in one region a connection takes milliseconds; a lost packet is sent again after a second
-constexpr milliseconds defaultKeepTime{4000};         ///< for targets that do not say how long they keep idle connections
-constexpr milliseconds keepMargin{1000};              ///< a target counts whole seconds, and its answer was on its way
-constexpr milliseconds sweepInterval{500};            ///< how often idle connections are looked at
-constexpr std::size_t maxAnswerHeadBytes = 32 * 1024; ///< twice what callers may send
+constexpr milliseconds connectTimeout{1000};            ///< in one region a connection takes milliseconds; a lost packet is sent again after a second
+constexpr milliseconds defaultKeepAliveTimeout{4000};   ///< for targets that do not say how long they keep idle connections
+constexpr milliseconds keepAliveMargin{1000};           ///< a target counts whole seconds, and its answer was on its way
+constexpr milliseconds sweepInterval{500};              ///< how often idle connections are looked at
+constexpr std::size_t maxResponseHeadBytes = 32 * 1024; ///< twice what callers may send
 
-struct KeptConnection {
+struct IdleConnection {
     ConnectionPtr connection;
     TimePoint until{}; ///< not used later
 };
 
-struct TargetConnections::Private {
+struct TargetConnectionPool::Private {
     EventLoop &loop;
     const Clock &clock;
-    std::map<Address, std::vector<KeptConnection>> kept{};
+    std::map<Address, std::vector<IdleConnection>> idle{};
     std::unique_ptr<Timer> sweep{};
 
-    void forget(const Address &address, const Connection *connection)
+    void removeIdle(const Address &address, const Connection *connection)
     {
-        auto &list = kept[address];
-        std::erase_if(list, [&](const KeptConnection &entry) {
+        auto &list = idle[address];
+        std::erase_if(list, [&](const IdleConnection &entry) {
             return entry.connection.get() == connection;
         });
     }
     void dropExpired()
     {
         const TimePoint now = clock.now();
-        for (auto &[address, list] : kept) {
-            std::erase_if(list, [&](const KeptConnection &entry) {
+        for (auto &[address, list] : idle) {
+            std::erase_if(list, [&](const IdleConnection &entry) {
                 if (entry.until <= now) {
                     entry.connection->close();
                 }
                 return entry.until <= now;
             });
         }
-        std::erase_if(kept, [](const auto &entry) {
+        std::erase_if(idle, [](const auto &entry) {
             return entry.second.empty();
         });
     }
 };
 
-TargetConnections::TargetConnections(EventLoop &loop, const Clock &clock)
+TargetConnectionPool::TargetConnectionPool(EventLoop &loop, const Clock &clock)
     : d(std::make_unique<Private>(Private{loop, clock}))
 {
     d->sweep = std::make_unique<Timer>(loop, [this] {
@@ -62,21 +62,21 @@
     d->sweep->startRepeating(sweepInterval);
 }
 
-TargetConnections::~TargetConnections()
+TargetConnectionPool::~TargetConnectionPool()
 {
-    for (auto &[address, list] : d->kept) {
-        for (KeptConnection &entry : list) {
+    for (auto &[address, list] : d->idle) {
+        for (IdleConnection &entry : list) {
             entry.connection->close();
         }
     }
 }
 
-ConnectionPtr TargetConnections::takeKept(const Address &address)
+ConnectionPtr TargetConnectionPool::acquireIdle(const Address &address)
 {
-    const auto it = d->kept.find(address);
+    const auto it = d->idle.find(address);
     const TimePoint now = d->clock.now();
-    while (it != d->kept.end() && !it->second.empty()) {
-        const KeptConnection entry = std::move(it->second.back());
+    while (it != d->idle.end() && !it->second.empty()) {
+        const IdleConnection entry = std::move(it->second.back());
         it->second.pop_back();
         if (entry.connection->isOpen() && entry.until > now) {
             return entry.connection;
@@ -86,9 +86,9 @@
     return nullptr;
 }
 
-void TargetConnections::keep(const Address &address, const ConnectionPtr &connection, milliseconds time)
+void TargetConnectionPool::release(const Address &address, const ConnectionPtr &connection, milliseconds idleTimeout)
 {
-    if (time <= milliseconds(0)) {
+    if (idleTimeout <= milliseconds(0)) {
         connection->close();
         return;
     }
@@ -97,28 +97,28 @@
     handlers.onInput = [this, address, raw = connection.get()] {
         const auto self = raw->shared_from_this();
         self->close();
-        d->forget(address, raw);
+        d->removeIdle(address, raw);
     };
     handlers.onEnd = [this, address, raw = connection.get()](ConnectionEnd) {
-        d->forget(address, raw);
+        d->removeIdle(address, raw);
     };
     connection->setHandlers(std::move(handlers));
-    d->kept[address].push_back({connection, d->clock.now() + time});
+    d->idle[address].push_back({connection, d->clock.now() + idleTimeout});
 }
 
-void TargetConnections::drop(const Address &address)
+void TargetConnectionPool::drop(const Address &address)
 {
-    const auto it = d->kept.find(address);
-    if (it == d->kept.end()) {
+    const auto it = d->idle.find(address);
+    if (it == d->idle.end()) {
         return;
     }
-    for (const KeptConnection &entry : it->second) {
+    for (const IdleConnection &entry : it->second) {
         entry.connection->close();
     }
-    d->kept.erase(it);
+    d->idle.erase(it);
 }
 
-EventLoop &TargetConnections::loop() const
+EventLoop &TargetConnectionPool::loop() const
 {
     return d->loop;
 }
@@ -126,24 +126,24 @@
 // [SECTION] TargetExchange
 
 struct TargetExchange::Private {
-    TargetConnections *connections = nullptr;
+    TargetConnectionPool *connections = nullptr;
     TargetRequest request;
     Handlers handlers;
     ConnectionPtr connection;
     HttpHead head;
     BodyReader bodyReader;
     std::string body; ///< read, not yet taken by the handler
-    bool wasKept = false;
+    bool isReused = false;
     bool hasHead = false;
     bool isOver = false;
-    bool skipsBody = false; ///< reading an answer to an earlier request
-    bool isPaused = false;  ///< by the owner
+    bool isSkippingBody = false; ///< reading an answer to an earlier request
+    bool isPaused = false;       ///< by the owner
 
     void finish(TargetExchange &self);
     void fail(TargetExchange &self, std::string text, bool mayHaveRun);
-    void takeInput(TargetExchange &self);
-    bool takeHead(TargetExchange &self);
-    void takeEnd(TargetExchange &self, ConnectionEnd end);
+    void handleInput(TargetExchange &self);
+    bool handleHead(TargetExchange &self);
+    void handleEnd(TargetExchange &self, ConnectionEnd end);
 };
 
 TargetExchange::TargetExchange()
@@ -158,32 +158,32 @@
     }
 }
 
-static milliseconds keepTime(const HttpHead &head)
+static milliseconds keepAliveTimeout(const HttpHead &head)
 {
     if (!head.keepsConnection()) {
         return milliseconds(0);
     }
-    std::string_view rest = head.find("Keep-Alive");
-    const std::size_t at = rest.find("timeout=");
+    std::string_view remainder = head.find("Keep-Alive");
+    const std::size_t at = remainder.find("timeout=");
     if (at == std::string_view::npos) {
-        return defaultKeepTime;
+        return defaultKeepAliveTimeout;
     }
-    rest = rest.substr(at + std::string_view("timeout=").size());
+    remainder = remainder.substr(at + std::string_view("timeout=").size());
     int seconds = 0;
-    parseNumber(rest.substr(0, rest.find_first_not_of("0123456789")), seconds);
-    return std::min(milliseconds(std::chrono::seconds(seconds)) - keepMargin, milliseconds(std::chrono::minutes(1)));
+    parseNumber(remainder.substr(0, remainder.find_first_not_of("0123456789")), seconds);
+    return std::min(milliseconds(std::chrono::seconds(seconds)) - keepAliveMargin, milliseconds(std::chrono::minutes(1)));
 }
 
-std::shared_ptr<TargetExchange> TargetExchange::start(TargetConnections &connections, TargetRequest request, Handlers handlers)
+std::shared_ptr<TargetExchange> TargetExchange::start(TargetConnectionPool &connections, TargetRequest request, Handlers handlers)
 {
     std::shared_ptr<TargetExchange> exchange(new TargetExchange);
     Private &data = *exchange->d;
     data.connections = &connections;
     data.request = std::move(request);
     data.handlers = std::move(handlers);
-    if (data.request.allowsKept) {
-        data.connection = connections.takeKept(data.request.address);
-        data.wasKept = data.connection != nullptr;
+    if (data.request.allowsReuse) {
+        data.connection = connections.acquireIdle(data.request.address);
+        data.isReused = data.connection != nullptr;
     }
     if (!data.connection) {
         data.connection = Connection::connect(connections.loop(), data.request.address, connectTimeout);
@@ -194,13 +194,13 @@
         });
         return exchange;
     }
-    data.connection->markWrites();
+    data.connection->resetHasWritten();
     Connection::Handlers connectionHandlers;
     connectionHandlers.onInput = [exchange] {
-        exchange->d->takeInput(*exchange);
+        exchange->d->handleInput(*exchange);
     };
     connectionHandlers.onEnd = [exchange](ConnectionEnd end) {
-        exchange->d->takeEnd(*exchange, end);
+        exchange->d->handleEnd(*exchange, end);
     };
     data.connection->setHandlers(std::move(connectionHandlers));
     data.connection->write(data.request.bytes);
@@ -213,9 +213,10 @@
     const auto keepSelf = self.shared_from_this();
     isOver = true;
     // A target may answer before it has read the whole request; what is left of it would be taken for the next one.
-    const bool isClean = connection->isOpen() && connection->input().empty() && connection->waiting() == 0 && bodyReader.framing != BodyFraming::UntilClose;
-    const milliseconds time = isClean ? keepTime(head) : milliseconds(0);
-    connections->keep(request.address, std::exchange(connection, nullptr), time);
+    const bool isReusable =
+        connection->isOpen() && connection->input().empty() && connection->unsentBytes() == 0 && bodyReader.framing != BodyFraming::UntilClose;
+    const milliseconds idleTimeout = isReusable ? keepAliveTimeout(head) : milliseconds(0);
+    connections->release(request.address, std::exchange(connection, nullptr), idleTimeout);
     const auto onDone = std::move(handlers.onDone);
     handlers = {};
     onDone();
@@ -234,14 +235,14 @@
     }
     const auto onFailure = std::move(handlers.onFailure);
     handlers = {};
-    onFailure({std::move(text), mayHaveRun, wasKept, hasHead});
+    onFailure({std::move(text), mayHaveRun, isReused, hasHead});
 }
 
 /// Reads a head. Returns false if there is none yet, or the exchange is over.
-bool TargetExchange::Private::takeHead(TargetExchange &self)
+bool TargetExchange::Private::handleHead(TargetExchange &self)
 {
     std::string &input = connection->input();
-    const ParseResult result = parseAnswerHead(input, maxAnswerHeadBytes, head);
+    const ParseResult result = parseResponseHead(input, maxResponseHeadBytes, head);
     if (result == ParseResult::Incomplete) {
         return false;
     }
@@ -250,7 +251,7 @@
         return false;
     }
     input.erase(0, head.text.size());
-    const BodyPlan plan = planAnswerBody(head, request.isHead);
+    const BodyPlan plan = planResponseBody(head, request.isHead);
     if (plan.isAmbiguous) {
         fail(self, "ambiguous length of the answer", true);
         return false;
@@ -261,28 +262,28 @@
     bodyReader = plan.reader;
     const std::string_view id = head.find(request.idField);
     // A second answer to an earlier request may stand where ours is due: its id tells.
-    skipsBody = !request.id.empty() && !id.empty() && id != request.id;
-    if (skipsBody && (!wasKept || bodyReader.framing == BodyFraming::UntilClose)) {
+    isSkippingBody = !request.id.empty() && !id.empty() && id != request.id;
+    if (isSkippingBody && (!isReused || bodyReader.framing == BodyFraming::UntilClose)) {
         fail(self, "answer with another request's id", true);
         return false;
     }
-    hasHead = !skipsBody;
+    hasHead = !isSkippingBody;
     if (hasHead) {
         handlers.onHead(head);
     }
     return !isOver;
 }
 
-void TargetExchange::Private::takeInput(TargetExchange &self)
+void TargetExchange::Private::handleInput(TargetExchange &self)
 {
     const auto keepSelf = self.shared_from_this();
     while (!isOver) {
         std::string &input = connection->input();
-        const bool needsHead = !hasHead && !skipsBody;
-        if (needsHead && (input.empty() || !takeHead(self))) {
+        const bool needsHead = !hasHead && !isSkippingBody;
+        if (needsHead && (input.empty() || !handleHead(self))) {
             return;
         }
-        if (isOver || (!hasHead && !skipsBody)) {
+        if (isOver || (!hasHead && !isSkippingBody)) {
             continue;
         }
         const std::size_t used = readBody(bodyReader, connection->input(), body);
@@ -291,12 +292,12 @@
         if (bodyReader.isMalformed) {
             return fail(self, "malformed body", true);
         }
-        if (skipsBody) {
+        if (isSkippingBody) {
             body.clear();
             if (!bodyReader.isComplete) {
                 return;
             }
-            skipsBody = false;
+            isSkippingBody = false;
             continue;
         }
         if (!body.empty()) {
@@ -309,14 +310,14 @@
     }
 }
 
-void TargetExchange::Private::takeEnd(TargetExchange &self, ConnectionEnd end)
+void TargetExchange::Private::handleEnd(TargetExchange &self, ConnectionEnd end)
 {
     const bool endsAnswer = hasHead && bodyReader.framing == BodyFraming::UntilClose && end == ConnectionEnd::PeerClosed;
     if (endsAnswer) {
         return finish(self);
     }
-    const bool isUnsent = end == ConnectionEnd::NotMade || !connection->hasWritten();
-    fail(self, std::string("connection ") + toString(end), !isUnsent);
+    const bool isNotSent = end == ConnectionEnd::NotEstablished || !connection->hasWritten();
+    fail(self, std::string("connection ") + toString(end), !isNotSent);
 }
 
 void TargetExchange::cancel()
--- a/src/relay/target_exchange.h
+++ b/src/relay/target_exchange.h
@@ -12,16 +12,16 @@
 {
 
 /// Kept connections to targets.
-class TargetConnections
+class TargetConnectionPool
 {
 public:
-    TargetConnections(EventLoop &loop, const Clock &clock);
-    ~TargetConnections();
+    TargetConnectionPool(EventLoop &loop, const Clock &clock);
+    ~TargetConnectionPool();
 
     /// A kept connection that is known to be open; null if there is none.
-    ConnectionPtr takeKept(const Address &address);
+    ConnectionPtr acquireIdle(const Address &address);
     /// Keeps an idle connection for up to `time`.
-    void keep(const Address &address, const ConnectionPtr &connection, milliseconds time);
+    void release(const Address &address, const ConnectionPtr &connection, milliseconds idleTimeout);
     /// Drops all kept connections to an address: its target is gone.
     void drop(const Address &address);
     EventLoop &loop() const;
@@ -33,20 +33,20 @@
 
 /// Why there is no (whole) answer.
 struct TargetFailure {
-    std::string text;         ///< for logs
-    bool mayHaveRun = true;   ///< false only if no byte of the request left, or no connection was made
-    bool wasKept = false;     ///< a kept connection: the target may have closed it before the request came
-    bool hasAnswered = false; ///< the head of an answer was read
+    std::string text;             ///< for logs
+    bool mayHaveRun = true;       ///< false only if no byte of the request left, or no connection was made
+    bool isReused = false;        ///< a kept connection: the target may have closed it before the request came
+    bool hasResponseHead = false; ///< the head of an answer was read
 };
 
 /// What to send.
 struct TargetRequest {
-    Address address;        ///< target
-    std::string bytes;      ///< head and body
-    bool isHead = false;    ///< method HEAD: the answer has no body
-    bool allowsKept = true; ///< a kept connection may be used
-    std::string idField;    ///< name of the field with the id that the answer must echo
-    std::string id;         ///< expected id; empty: any
+    Address address;         ///< target
+    std::string bytes;       ///< head and body
+    bool isHead = false;     ///< method HEAD: the answer has no body
+    bool allowsReuse = true; ///< a kept connection may be used
+    std::string idField;     ///< name of the field with the id that the answer must echo
+    std::string id;          ///< expected id; empty: any
 };
 
 /// A request on its way.
@@ -59,7 +59,7 @@
         std::function<void()> onDone;                         ///< the answer is whole
         std::function<void(const TargetFailure &)> onFailure; ///< no whole answer will come
     };
-    static std::shared_ptr<TargetExchange> start(TargetConnections &connections, TargetRequest request, Handlers handlers);
+    static std::shared_ptr<TargetExchange> start(TargetConnectionPool &connections, TargetRequest request, Handlers handlers);
     ~TargetExchange();
 
     /// Breaks the connection, so that the target stops work; no handler follows.
--- a/src/relay/target_forwarding.cpp
+++ b/src/relay/target_forwarding.cpp
@@ -9,10 +9,10 @@
 {
 }
 
-void TargetForwarding::followCaller()
+void TargetForwarding::installCallerHandlers()
 {
-    m_request.exchange->onGone([self = shared_from_this(), this] {
-        noteCallerGone(m_context, m_request, m_sent);
+    m_request.exchange->onDisconnected([self = shared_from_this(), this] {
+        recordCallerDisconnected(m_context, m_request, m_attempts);
         end();
     });
     m_request.exchange->onDrained([this] {
@@ -26,25 +26,25 @@
 {
     TargetRequest request;
     request.address = address;
-    request.bytes = requestBytes(m_context, m_request, target, added);
+    request.bytes = serializeRequest(m_context, m_request, target, added);
     request.isHead = m_request.exchange->head().method == "HEAD";
     // A target may close a kept connection just as a request comes; the reset does not tell whether it ran. Requests that
     // must not run twice could not be sent again then: each gets a connection that is certainly fresh.
-    request.allowsKept = canRepeat();
+    request.allowsReuse = canRetryAfterRun();
     request.idField = m_context.dialect.headers().attemptId;
     request.id = m_request.attemptId;
     TargetExchange::Handlers handlers;
     handlers.onHead = [self = shared_from_this(), this](const HttpHead &head) {
-        takeHead(head);
+        handleHead(head);
     };
     handlers.onBody = [self = shared_from_this(), this](std::string &body) {
-        takeBody(body);
+        handleBody(body);
     };
     handlers.onDone = [self = shared_from_this(), this] {
-        takeEnd();
+        handleEnd();
     };
     handlers.onFailure = [self = shared_from_this(), this](const TargetFailure &failure) {
-        takeFailure(failure);
+        handleFailure(failure);
     };
     m_exchange = TargetExchange::start(m_context.connections, std::move(request), std::move(handlers));
 }
@@ -58,7 +58,7 @@
 
 void TargetForwarding::abandon()
 {
-    m_request.exchange->onGone(nullptr);
+    m_request.exchange->onDisconnected(nullptr);
     m_request.exchange->onDrained(nullptr);
     end();
 }
--- a/src/relay/target_forwarding.h
+++ b/src/relay/target_forwarding.h
@@ -20,7 +20,7 @@
     TargetForwarding(RelayContext &context, ForwardedRequest request);
 
     /// Follows the caller: a caller that leaves ends the forwarding, one that has taken its bytes gets more.
-    void followCaller();
+    void installCallerHandlers();
     /// Sends the request to a target. `added` are fields that the relay sets for it.
     void sendTo(const TargetId &target, const Address &address, const std::vector<AddedField> &added);
     /// Breaks the request on its way, if there is one.
@@ -29,18 +29,18 @@
     void end();
 
     /// Whether the request may be sent again though it may have run.
-    virtual bool canRepeat() const = 0;
-    virtual void takeHead(const HttpHead &head) = 0;
-    virtual void takeBody(std::string &body) = 0;
-    virtual void takeEnd() = 0;
-    virtual void takeFailure(const TargetFailure &failure) = 0;
+    virtual bool canRetryAfterRun() const = 0;
+    virtual void handleHead(const HttpHead &head) = 0;
+    virtual void handleBody(std::string &body) = 0;
+    virtual void handleEnd() = 0;
+    virtual void handleFailure(const TargetFailure &failure) = 0;
     /// Gives back what the attempt holds.
     virtual void endAttempt() = 0;
 
     RelayContext &m_context;
     ForwardedRequest m_request;
     TargetExchangePtr m_exchange; ///< request on its way; null between attempts
-    int m_sent = 0;               ///< attempts that a target may have begun
+    int m_attempts = 0;           ///< attempts that a target may have begun
     bool m_mayHaveRun = false;    ///< in an attempt before
     bool m_isOver = false;
 };
--- a/tests/fuzz_http_message.cpp
+++ b/tests/fuzz_http_message.cpp
@@ -5,7 +5,7 @@
 
 using namespace Parsleytrail;
 
-static std::string readWhole(BodyReader reader, std::string_view bytes, bool &isMalformed)
+static std::string readAtOnce(BodyReader reader, std::string_view bytes, bool &isMalformed)
 {
     std::string body;
     readBody(reader, bytes, body);
@@ -15,11 +15,11 @@
 
 static std::string readByByte(BodyReader reader, std::string_view bytes, bool &isMalformed)
 {
-    std::string waiting;
+    std::string pending;
     std::string body;
     for (const char c : bytes) {
-        waiting += c;
-        waiting.erase(0, readBody(reader, waiting, body));
+        pending += c;
+        pending.erase(0, readBody(reader, pending, body));
         if (reader.isMalformed || reader.isComplete) {
             break;
         }
@@ -28,16 +28,16 @@
     return body;
 }
 
-static void checkBody(const BodyPlan &plan, std::string_view rest)
+static void checkBody(const BodyPlan &plan, std::string_view remainder)
 {
     if (plan.isAmbiguous) {
         return;
     }
-    bool isMalformedWhole = false;
+    bool isMalformedAtOnce = false;
     bool isMalformedByByte = false;
-    const std::string whole = readWhole(plan.reader, rest, isMalformedWhole);
-    const std::string byByte = readByByte(plan.reader, rest, isMalformedByByte);
-    if (whole != byByte || isMalformedWhole != isMalformedByByte) {
+    const std::string atOnce = readAtOnce(plan.reader, remainder, isMalformedAtOnce);
+    const std::string byByte = readByByte(plan.reader, remainder, isMalformedByByte);
+    if (atOnce != byByte || isMalformedAtOnce != isMalformedByByte) {
         __builtin_trap();
     }
 }
@@ -49,9 +49,9 @@
     if (parseRequestHead(bytes, 4096, request) == ParseResult::Complete) {
         checkBody(planRequestBody(request), bytes.substr(request.text.size()));
     }
-    HttpHead answer;
-    if (parseAnswerHead(bytes, 4096, answer) == ParseResult::Complete) {
-        checkBody(planAnswerBody(answer, false), bytes.substr(answer.text.size()));
+    HttpHead response;
+    if (parseResponseHead(bytes, 4096, response) == ParseResult::Complete) {
+        checkBody(planResponseBody(response, false), bytes.substr(response.text.size()));
     }
     BodyPlan chunked;
     chunked.reader.framing = BodyFraming::Chunked;
--- a/tests/http_message_test.cpp
+++ b/tests/http_message_test.cpp
@@ -13,11 +13,11 @@
 /// Reads a body that arrives in pieces of `step` bytes.
 std::string readInPieces(BodyReader &reader, const std::string &bytes, std::size_t step)
 {
-    std::string waiting;
+    std::string pending;
     std::string body;
     for (std::size_t at = 0; at < bytes.size(); at += step) {
-        waiting += bytes.substr(at, step);
-        waiting.erase(0, readBody(reader, waiting, body));
+        pending += bytes.substr(at, step);
+        pending.erase(0, readBody(reader, pending, body));
     }
     return body;
 }
@@ -112,14 +112,14 @@
     BOOST_TEST((parseRequestHead(endless + "\r\n\r\n", 4096, head) == ParseResult::TooLarge));
 }
 
-BOOST_AUTO_TEST_CASE(bytesThatAreNoAnswerAreKnownAtOnce)
+BOOST_AUTO_TEST_CASE(bytesThatAreNoResponseAreRefusedAtOnce)
 {
     HttpHead head;
-    BOOST_TEST((parseAnswerHead("HT", 4096, head) == ParseResult::Incomplete));
-    BOOST_TEST((parseAnswerHead("\x7f\x01garbage", 4096, head) == ParseResult::Malformed));
-    BOOST_TEST((parseAnswerHead("HTTP/1.1 abc\r\n\r\n", 4096, head) == ParseResult::Malformed));
-    BOOST_TEST((parseAnswerHead("HTTP/1.1 999 No\r\n\r\n", 4096, head) == ParseResult::Malformed));
-    BOOST_REQUIRE((parseAnswerHead("HTTP/1.1 200\r\n\r\n", 4096, head) == ParseResult::Complete));
+    BOOST_TEST((parseResponseHead("HT", 4096, head) == ParseResult::Incomplete));
+    BOOST_TEST((parseResponseHead("\x7f\x01garbage", 4096, head) == ParseResult::Malformed));
+    BOOST_TEST((parseResponseHead("HTTP/1.1 abc\r\n\r\n", 4096, head) == ParseResult::Malformed));
+    BOOST_TEST((parseResponseHead("HTTP/1.1 999 No\r\n\r\n", 4096, head) == ParseResult::Malformed));
+    BOOST_REQUIRE((parseResponseHead("HTTP/1.1 200\r\n\r\n", 4096, head) == ParseResult::Complete));
     BOOST_TEST(head.status == 200);
 }
 
@@ -157,11 +157,11 @@
 BOOST_AUTO_TEST_CASE(answersWithoutLengthLastUntilTheConnectionCloses)
 {
     HttpHead head;
-    BOOST_REQUIRE(parseAnswerHead("HTTP/1.1 200 OK\r\n\r\n", 4096, head) == ParseResult::Complete);
-    BOOST_TEST((planAnswerBody(head, false).reader.framing == BodyFraming::UntilClose));
-    BOOST_TEST(planAnswerBody(head, true).reader.isComplete);
-    BOOST_REQUIRE(parseAnswerHead("HTTP/1.1 204 No Content\r\n\r\n", 4096, head) == ParseResult::Complete);
-    BOOST_TEST(planAnswerBody(head, false).reader.isComplete);
+    BOOST_REQUIRE(parseResponseHead("HTTP/1.1 200 OK\r\n\r\n", 4096, head) == ParseResult::Complete);
+    BOOST_TEST((planResponseBody(head, false).reader.framing == BodyFraming::UntilClose));
+    BOOST_TEST(planResponseBody(head, true).reader.isComplete);
+    BOOST_REQUIRE(parseResponseHead("HTTP/1.1 204 No Content\r\n\r\n", 4096, head) == ParseResult::Complete);
+    BOOST_TEST(planResponseBody(head, false).reader.isComplete);
 }
 
 BOOST_AUTO_TEST_CASE(eventsEndAtAnEmptyLine)
--- a/tests/relay_calls_test.cpp
+++ b/tests/relay_calls_test.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-RawReply answerWell(const RawRequest &request)
+RawReply answerSuccessfully(const RawRequest &request)
 {
     return {sealedAnswer(request, "fine")};
 }
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(aRequestIsPassedOnUnchangedButForItsOwnFields)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.call("POST", "/book/a?b=c", "id-1", "two bytes \r\n\x01",
                                         "X-Own: kept\r\nX-Tenant: forged\r\nX-Expect-Instance: forged\r\nConnection: X-Drop\r\nX-Drop: 1\r\n");
@@ -146,7 +146,7 @@
 BOOST_AUTO_TEST_CASE(aChunkedBodyReachesTheTargetWhole)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send(withFields("Transfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     system.wait("answer", [&] {
@@ -159,7 +159,7 @@
 BOOST_DATA_TEST_CASE(badInputIsAnsweredAndReachesNoTarget, boost::unit_test::data::make(badInputs), bad)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send(bad.bytes);
     system.wait("answer", [&] {
@@ -174,9 +174,9 @@
     // The first target that is asked spoils its answer; the request may run again, so that the caller gets the other
     // target's whole answer and no byte of the first.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     const auto handler = [&](const RawRequest &request) {
-        return ++asked == 1 ? bad.reply(request) : answerWell(request);
+        return ++received == 1 ? bad.reply(request) : answerSuccessfully(request);
     };
     system.addTarget("t1", handler);
     system.addTarget("t2", handler);
@@ -187,7 +187,7 @@
     });
     BOOST_TEST(call->status() == 200);
     BOOST_TEST(call->body() == "fine");
-    BOOST_TEST(asked == 2);
+    BOOST_TEST(received == 2);
 }
 
 BOOST_DATA_TEST_CASE(aRequestThatMayNotRepeatIsNeverSentTwice, boost::unit_test::data::make(badAnswers), bad)
@@ -195,9 +195,9 @@
     // The target has the request and spoils its answer: it may have run. The caller must not be told that it did not, and
     // no other target may get it.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     const auto handler = [&](const RawRequest &request) {
-        ++asked;
+        ++received;
         return bad.reply(request);
     };
     system.addTarget("t1", handler);
@@ -210,7 +210,7 @@
     BOOST_TEST(call->status() == 502);
     BOOST_TEST(call->field("X-Response-Seal").empty());
     system.idle(milliseconds(100));
-    BOOST_TEST(asked == 1);
+    BOOST_TEST(received == 1);
 }
 
 BOOST_AUTO_TEST_CASE(aTargetThatDidNotRunItLeavesTheCallerFreeToComeBack)
@@ -266,10 +266,10 @@
     // A target answers one request twice. The second answer arrives where the answer to the next request on the connection
     // is due: without a look at its id, another caller would get it.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     system.addTarget("t1", [&](const RawRequest &request) {
-        RawReply reply = answerWell(request);
-        if (++asked == 2) {
+        RawReply reply = answerSuccessfully(request);
+        if (++received == 2) {
             reply.bytes = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Response-Seal: s\r\nContent-Length: 5\r\n\r\nstale" + sealedAnswer(request, "second");
         }
         return reply;
@@ -290,7 +290,7 @@
 BOOST_AUTO_TEST_CASE(bytesOnAnIdleConnectionEndIt)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr first = system.call("GET", "/read/x", "id-1");
     system.wait("first answer", [&] {
@@ -306,12 +306,12 @@
     BOOST_TEST(target.requests().at(1).connection == 2);
 }
 
-BOOST_AUTO_TEST_CASE(keptConnectionsAreUsedOnlyForWhatMayRepeat)
+BOOST_AUTO_TEST_CASE(keptConnectionsAreUsedOnlyForRepeatableRequests)
 {
     // A target closes idle connections when it likes. A booking sent on one that was just closed is reset, and nobody knows
     // whether it ran: it gets a connection of its own.
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     for (const char *path : {"/read/x", "/read/x", "/book/x", "/book/x"}) {
         const RawCallPtr call = system.call("POST", path, path, "body");
@@ -324,12 +324,12 @@
     BOOST_TEST(target.requests().at(3).connection == 3);
 }
 
-BOOST_AUTO_TEST_CASE(aStaleConnectionCostsNobodyHisAnswer)
+BOOST_AUTO_TEST_CASE(aStaleConnectionLosesNoAnswer)
 {
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
         // The second request of a connection is met by a reset, as by a target that had closed it.
-        return request.field("X-Attempt-Id") == "id-2" && request.connection == 1 ? RawReply{"", false, true} : answerWell(request);
+        return request.field("X-Attempt-Id") == "id-2" && request.connection == 1 ? RawReply{"", false, true} : answerSuccessfully(request);
     });
     system.waitReady();
     for (const char *id : {"id-1", "id-2"}) {
@@ -347,7 +347,7 @@
     // A target answers a request of 40 KB before it has read it and reads on later. Another request sent on that connection
     // would be taken for the rest of the body.
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr first = system.call("POST", "/read/x", "id-1", std::string(40000, 'a'));
     system.wait("first answer", [&] {
@@ -366,7 +366,7 @@
 {
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(60000);
         return reply;
     });
@@ -387,7 +387,7 @@
     options.callTimeout = milliseconds(200);
     RelaySystem system(options);
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(60000);
         return reply;
     });
@@ -402,7 +402,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(aRelayThatStoodStillKeepsItsPeers)
+BOOST_AUTO_TEST_CASE(aRelayThatWasPausedKeepsItsPeers)
 {
     // A relay is frozen for longer than its peers may be silent, and goes on before it has read what they sent meanwhile.
     // It still counts them: their streams at the engines, and that one of them may be giving orders.
@@ -423,8 +423,8 @@
 BOOST_AUTO_TEST_CASE(aDrainingTargetGetsNothingNew)
 {
     RelaySystem system;
-    StandIn::RawTarget &leaving = system.addTarget("t1", answerWell);
-    StandIn::RawTarget &staying = system.addTarget("t2", answerWell);
+    StandIn::RawTarget &leaving = system.addTarget("t1", answerSuccessfully);
+    StandIn::RawTarget &staying = system.addTarget("t2", answerSuccessfully);
     system.waitReady();
     system.list("t1", "shop", leaving.address(), "draining");
     system.waitState("\"isDraining\": true");
@@ -441,7 +441,7 @@
 BOOST_AUTO_TEST_CASE(aRevokedKeyIsRefusedAndANewOneServed)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.configure(2, {"key-2"});
     system.waitState("\"configurationVersion\": 2");
@@ -462,7 +462,7 @@
     RelaySystemOptions options;
     options.version = 5;
     RelaySystem system(options);
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.configure(4, {"key-old"});
     system.idle(milliseconds(600));
@@ -476,7 +476,7 @@
 BOOST_AUTO_TEST_CASE(publicRoutesNeedNoKeyAndNameNoWorkspace)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send("GET /open/x HTTP/1.1\r\nHost: host.example\r\nX-Attempt-Id: id-1\r\nX-Tenant: forged\r\n\r\n");
     system.wait("answer", [&] {
@@ -508,7 +508,7 @@
 BOOST_AUTO_TEST_CASE(aRequestThatComesWithTheStartIsServedOnceTheConfigurationIsKnown)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.stopRelay(0);
     system.store().faults().isDown = true;
@@ -526,7 +526,7 @@
 BOOST_AUTO_TEST_CASE(whileTheStoreIsAwayWhatIsKnownIsServedAndWhatIsNotIsNotDenied)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.store().faults().isDown = true;
     system.idle(milliseconds(3500));
@@ -547,7 +547,7 @@
         settings.storeWatch = milliseconds(2000);
     };
     RelaySystem system(options);
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.waitState("\"t1\"");
     // The watch under way ends by a change; the calls after it fail.
@@ -556,9 +556,9 @@
     system.store().faults().isDown = true;
     system.idle(milliseconds(700));
     system.store().faults().isDown = false;
-    constexpr milliseconds untilLapsedEntriesAreBack{2300};
-    constexpr milliseconds untilNoticed{900};
-    system.idle(untilLapsedEntriesAreBack + untilNoticed);
+    constexpr milliseconds lapsedEntryRecoveryTime{2300};
+    constexpr milliseconds detectionTime{900};
+    system.idle(lapsedEntryRecoveryTime + detectionTime);
     system.unlist("t1");
     system.idle(milliseconds(400));
     BOOST_TEST(system.relay().dumpState().find("\"t1\"") == std::string::npos);
@@ -580,7 +580,7 @@
     StandIn::RawTarget refusing(system.loop(), [](const RawRequest &) {
         return RawReply{"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"};
     });
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     gate = &refusing;
     system.stopRelay(1);
@@ -607,7 +607,7 @@
     options.relays = 2;
     RelaySystem system(options);
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        return request.field("X-Attempt-Id") == "bad" ? RawReply{"", false, true} : answerWell(request);
+        return request.field("X-Attempt-Id") == "bad" ? RawReply{"", false, true} : answerSuccessfully(request);
     });
     system.waitReady();
     const RawCallPtr call = system.call("POST", "/book/x", "bad", "seat 4");
@@ -623,7 +623,7 @@
 {
     RelaySystem system;
     system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(500);
         return reply;
     });
--- a/tests/relay_streams_test.cpp
+++ b/tests/relay_streams_test.cpp
@@ -21,7 +21,7 @@
     return options;
 }
 
-std::vector<int> idsFrom(int first, int last)
+std::vector<int> idRange(int first, int last)
 {
     std::vector<int> ids(last - first + 1);
     std::iota(ids.begin(), ids.end(), first);
@@ -29,7 +29,7 @@
 }
 
 /// Engine whose range begins at the first layer, or does not.
-std::string engineWith(RelaySystem &system, int engines, bool holdsFirst)
+std::string findEngine(RelaySystem &system, int engines, bool holdsFirst)
 {
     for (int i = 0; i < engines; ++i) {
         const std::string id = "engine-" + std::to_string(i);
@@ -41,11 +41,11 @@
     return {};
 }
 
-void checkWhole(const RawCallPtr &call, int last = 30)
+void checkComplete(const RawCallPtr &call, int last = 30)
 {
     BOOST_TEST(call->status() == 200);
     BOOST_TEST(call->isWhole());
-    BOOST_TEST(call->eventIds() == idsFrom(1, last), boost::test_tools::per_element());
+    BOOST_TEST(call->eventIds() == idRange(1, last), boost::test_tools::per_element());
 }
 
 } // namespace
@@ -61,7 +61,7 @@
     system.wait("answer", [&] {
         return call->isWhole();
     });
-    checkWhole(call);
+    checkComplete(call);
     BOOST_TEST(call->field("X-Response-Seal").starts_with("seal-engine-"));
     BOOST_TEST(system.engines().badChains() == 0);
     BOOST_TEST(system.engines().refusedOrders() == 0);
@@ -76,7 +76,7 @@
     system.wait("answer", [&] {
         return call->isWhole();
     });
-    BOOST_TEST(call->eventIds() == idsFrom(13, 30), boost::test_tools::per_element());
+    BOOST_TEST(call->eventIds() == idRange(13, 30), boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(aStreamCutInTheMiddleOfAnEventGoesOnInTheSameAnswer)
@@ -97,11 +97,11 @@
     system.wait("answer", [&] {
         return call->isWhole();
     });
-    checkWhole(call);
+    checkComplete(call);
     BOOST_TEST(system.engines().begun() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(aSilentEngineInTheChainIsLeftWithinTheSameRun)
+BOOST_AUTO_TEST_CASE(anUnresponsiveEngineInTheChainIsReplacedWithinTheSameRun)
 {
     // An engine in the middle of the chain goes silent: its stream gets no events, no connection breaks. The relay asks the
     // chain's engines, finds the one that does not answer, and has the first engine go on through the others.
@@ -134,7 +134,7 @@
         });
     });
     for (const RawCallPtr &call : calls) {
-        checkWhole(call);
+        checkComplete(call);
     }
     BOOST_TEST(system.engines().moved() >= 1);
     BOOST_TEST(system.engines().begun() == 6);
@@ -154,7 +154,7 @@
     RelaySystem system(options);
     system.waitReady();
     system.waitPlaced();
-    const std::string pausing = engineWith(system, 2, false);
+    const std::string pausing = findEngine(system, 2, false);
     const LayerRange layers = system.engines().layers(pausing);
     const RawCallPtr call = system.stream("s-1");
     system.wait("some events", [&] {
@@ -166,7 +166,7 @@
     system.wait("answer", [&] {
         return call->isWhole() || call->isClosed;
     });
-    checkWhole(call);
+    checkComplete(call);
 }
 
 BOOST_AUTO_TEST_CASE(aStreamThatMayNotBeginAnewIsMovedWhenItsLayersAreHeldAgain)
@@ -205,12 +205,12 @@
     system.wait("answer", [&] {
         return call->isWhole() || call->isClosed;
     });
-    checkWhole(call, 60);
+    checkComplete(call, 60);
     BOOST_TEST(system.engines().begun() == 1);
     BOOST_TEST(system.engines().badChains() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aLostAnswerDoesNotTakeAnEngineAway)
+BOOST_AUTO_TEST_CASE(aLostAnswerDoesNotExcludeTheEngine)
 {
     // The connection of one stream is reset at the first engine of the only chain, which works. Avoided for it, the engine
     // took the chain along: all callers were refused for the next 400 ms. It answers a question, and that settles it.
@@ -221,13 +221,13 @@
     system.wait("some events", [&] {
         return cut->eventIds().size() >= 3;
     });
-    system.engines().cutStreams(engineWith(system, 2, true));
+    system.engines().cutStreams(findEngine(system, 2, true));
     system.idle(milliseconds(100));
     const RawCallPtr next = system.stream("s-2");
     system.wait("answer", [&] {
         return next->isWhole();
     });
-    checkWhole(next);
+    checkComplete(next);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineThatLeavesWhileTheStoreIsDownIsReplaced)
@@ -238,7 +238,7 @@
     system.waitReady();
     system.waitPlaced();
     system.store().faults().isDown = true;
-    const std::string leaving = engineWith(system, 4, false);
+    const std::string leaving = findEngine(system, 4, false);
     system.engines().refuseParts(leaving);
     const int before = system.engines().placed();
     int number = 0;
@@ -264,7 +264,7 @@
     RelaySystem system(withEngines(4));
     system.waitReady();
     system.waitPlaced();
-    const std::string lost = engineWith(system, 4, false);
+    const std::string lost = findEngine(system, 4, false);
     system.engines().crash(lost);
     system.unlist(lost);
     system.idle(milliseconds(100));
@@ -306,7 +306,7 @@
     BOOST_TEST(system.engines().placed() == placed);
 }
 
-BOOST_AUTO_TEST_CASE(theFirstPlanWaitsForAllEngines)
+BOOST_AUTO_TEST_CASE(theInitialPlacementWaitsForAllEngines)
 {
     // Engines register one after the other. A plan for the first few would cut the model into pieces too large.
     RelaySystemOptions options = withEngines(2);
@@ -341,7 +341,7 @@
     const std::string holder = system.store().value("leases", "placement");
     const std::size_t stopped = holder.starts_with("entry-0") ? 0 : 1;
     system.stopRelay(stopped);
-    const std::string lost = engineWith(system, 4, false);
+    const std::string lost = findEngine(system, 4, false);
     system.engines().crash(lost);
     system.unlist(lost);
     const int before = system.engines().placed();
@@ -386,7 +386,7 @@
     BOOST_TEST(system.engines().begun() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aForgottenHistoryIsReadAnew)
+BOOST_AUTO_TEST_CASE(aStoreWithoutHistoryIsReadAnew)
 {
     RelaySystem system(withEngines(4));
     system.waitReady();
--- a/tests/relay_system.cpp
+++ b/tests/relay_system.cpp
@@ -19,7 +19,7 @@
 
 static bool parseHead(const RawCall &call, HttpHead &head)
 {
-    return parseAnswerHead(call.received, 1 << 20, head) == ParseResult::Complete;
+    return parseResponseHead(call.received, 1 << 20, head) == ParseResult::Complete;
 }
 
 /// Body bytes received, and whether the body is whole.
@@ -29,7 +29,7 @@
     if (!parseHead(call, head)) {
         return {};
     }
-    BodyPlan plan = planAnswerBody(head, false);
+    BodyPlan plan = planResponseBody(head, false);
     std::string body;
     readBody(plan.reader, std::string_view(call.received).substr(head.text.size()), body);
     return {body, plan.reader.isComplete};
