--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -1,4 +1,4 @@
-// Forwarding to plain services: one request, one answer.
+// Forwarding to plain services, which send one response to a request.
 #include "relay/target_forwarding.h"
 
 #include <algorithm>
@@ -6,15 +6,16 @@
 namespace Parsleytrail
 {
 
-/// Answers up to this size are held until they are whole, so that a cut one can be replaced by another target's.
+/// Responses up to this size are buffered until they are complete, so that a truncated one can be replaced by that of another
+/// target.
 constexpr std::size_t maxBufferedResponseBytes = 128 * 1024;
-/// Reading from a target stops while its caller has this much to take.
+/// Reading from a target pauses while more than this is buffered for its caller.
 constexpr std::size_t maxUnsentBytes = 256 * 1024;
-/// A request is not sent again with less time than this left: a target needs tens of milliseconds.
+/// A request is not retried with less time than this remaining, as targets need tens of milliseconds.
 constexpr milliseconds minAttemptTime{30};
-/// When targets that refused for lack of room are expected to have some again: a few times their usual work.
+/// Estimated time until targets that refused for lack of capacity have some again: a few times the duration of a usual call.
 constexpr milliseconds overloadRetryAfter{400};
-/// When a service without a usable target is expected to have one: engines restart within seconds.
+/// Estimated time until a service without a usable target has one again: engines restart within seconds.
 constexpr milliseconds noTargetRetryAfter{1000};
 
 class CallForwarding final : public TargetForwarding
@@ -29,11 +30,11 @@
     void checkTimeouts(TimePoint now) override;
     void handleFailedTarget(const TargetId &) override
     {
-        // A call waits for one target only: its own connection or time-out tells.
+        // A call waits for a single target, whose failure its own connection or timeout detects.
     }
     void moveOffLeavingEngines() override
     {
-        // A call lasts milliseconds; its target goes on serving for longer.
+        // A call lasts milliseconds; a draining target continues to serve for longer than that.
     }
     const std::vector<ChainPart> &chain() const override
     {
@@ -61,11 +62,11 @@
     }
 
     TargetId m_target;
-    std::vector<TargetId> m_excludedTargets; ///< targets that are not asked again
-    std::string m_bufferedBody;              ///< of the answer, held
+    std::vector<TargetId> m_excludedTargets; ///< targets that are not tried again
+    std::string m_bufferedBody;              ///< response body received so far
     TimePoint m_firstByteAt{};
-    bool m_isRelaying = false; ///< the answer was too large to hold
-    bool m_isCounted = false;  ///< as open at the target
+    bool m_isRelaying = false; ///< the response is too large to buffer and is relayed as it arrives
+    bool m_isCounted = false;  ///< the request is included in the target's openRequests
 };
 
 void CallForwarding::begin()
@@ -74,7 +75,7 @@
     startAttempt();
 }
 
-/// The target with the least work for its slots; one of this data centre first among equals.
+/// Selects the target with the fewest open requests per slot, preferring usable targets and those of this data centre.
 Target *CallForwarding::chooseTarget()
 {
     const TimePoint now = m_context.clock.now();
@@ -87,8 +88,8 @@
             continue;
         }
         const double open = allOpenRequests(target);
-        constexpr double remoteCost = 0.3;  // less than two more requests on a target of six slots
-        constexpr double avoidedCost = 100; // only if there is no other
+        constexpr double remoteCost = 0.3;  // less than two open requests more on a target with six slots
+        constexpr double avoidedCost = 100; // chosen only if there is no other target
         double cost = open / std::max(target.listed.slots, 1) + jitter(m_context.random);
         cost += target.listed.dataCenter == m_context.settings.dataCenter ? 0 : remoteCost;
         cost += isUsable(target, now) ? 0 : avoidedCost;
@@ -184,7 +185,7 @@
     retryOrEnd(isAuthenticFailure ? "target failed" : "answer is not the target's own", true, false);
 }
 
-/// Gives the caller the target's answer, unchanged.
+/// Completes the caller's response with the unchanged response of the target.
 void CallForwarding::relayResponse()
 {
     const TargetExchangePtr exchange = m_exchange;
@@ -209,7 +210,7 @@
         return end();
     }
     if (failure.isReused && failure.mayHaveRun && !failure.hasResponseHead) {
-        // The connection was stale: that says nothing of the target.
+        // The target had closed the idle connection, which is no sign of a failure of the target.
         --m_attempts;
         endAttempt();
         if (tryRetry(m_context, m_request.service->name)) {
@@ -224,7 +225,7 @@
     retryOrEnd(failure.text, failure.mayHaveRun, false);
 }
 
-/// After an attempt without an answer for the caller.
+/// Called after an attempt that brought no response for the caller: retries or ends the request.
 void CallForwarding::retryOrEnd(std::string_view reason, bool mayHaveRun, bool isOverloaded)
 {
     m_mayHaveRun = m_mayHaveRun || mayHaveRun;
@@ -250,7 +251,7 @@
     if (m_isOver || now < m_request.deadline) {
         return;
     }
-    // What was sent may still run: its connection is closed, but only the target knows.
+    // The request may still run: closing the connection does not show whether the target stops.
     failRequest(m_context, m_request, "time is up", m_target.value, m_attempts);
     end();
 }
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -12,9 +12,10 @@
 
 // [SECTION] Session
 
-/// How often time-outs of sessions are looked at; they are seconds long.
+/// Interval of checking sessions for timeouts, which are several seconds long.
 constexpr milliseconds sessionCheckInterval{250};
-/// Bodies are taken up to this size before memory is reserved for their announced length.
+/// Upper bound of the memory reserved for a body because of its announced length, before its bytes arrive. Reading pauses at
+/// four times as many unprocessed bytes.
 constexpr std::size_t initialBodyReserveBytes = 64 * 1024;
 
 struct CallerSession;
@@ -25,7 +26,7 @@
     Handler handler;
     SessionLimits limits{};
     std::set<std::shared_ptr<CallerSession>> sessions{};
-    std::set<ConnectionPtr> closing{}; ///< answered, sending the rest
+    std::set<ConnectionPtr> closing{}; ///< answered; the remaining bytes are being sent
     std::unique_ptr<Timer> tick{};
     std::size_t openExchanges = 0;
     bool isDraining = false;
@@ -41,20 +42,20 @@
     bool isBegun = false;
     bool isOver = false;
     bool isChunked = false;
-    bool closes = false; ///< the connection ends with this answer
+    bool closes = false; ///< the connection is closed after this response
 
     std::shared_ptr<CallerSession> detachSession();
 };
 
-/// One connection.
+/// A caller's connection.
 struct CallerSession : std::enable_shared_from_this<CallerSession> {
     CallerSessions::Private *owner = nullptr;
     ConnectionPtr connection;
     CallerExchangePtr exchange; ///< being read or answered
     BodyReader bodyReader;
     bool isReadingBody = false;
-    bool isAnswering = false; ///< the exchange was handed on
-    TimePoint waitingSince{}; ///< of the first byte of a head, the last part of a body, or the end of an answer
+    bool isAnswering = false; ///< the request was passed to the handler or rejected
+    TimePoint waitingSince{}; ///< first byte of a head, last part of a body, or end of a response
     bool hasPartialHead = false;
 
     void start();
@@ -164,7 +165,7 @@
     }
 }
 
-/// Answers a request that could not be read, and closes: where its bytes end is not known.
+/// Rejects a request that could not be read and closes the connection, as the end of the request is unknown.
 void CallerSession::refuse(int status, std::string_view text)
 {
     isAnswering = true;
@@ -182,7 +183,7 @@
     owner->handler(ready);
 }
 
-/// The answer is whole: the next request may come.
+/// Called when the response is complete: closes the connection or continues with the next request.
 void CallerSession::finishExchange()
 {
     const CallerExchangePtr done = std::move(exchange);
@@ -201,14 +202,14 @@
         return;
     }
     if (!connection->input().empty()) {
-        // From the loop, so that answers to requests sent ahead do not pile up on the stack.
+        // Deferred to the loop, so that a sequence of pipelined requests does not recurse on the stack.
         owner->loop.defer([self = shared_from_this()] {
             self->handleInput();
         });
     }
 }
 
-/// The connection is gone.
+/// Called when the connection has ended.
 void CallerSession::end()
 {
     const auto self = shared_from_this();
@@ -246,7 +247,7 @@
 
 // [SECTION] CallerExchange
 
-/// Ends the exchange's use of its session; null if it was over already. No handler follows.
+/// Marks the exchange as over and returns its session, or null if it was over already. No handler is called afterwards.
 std::shared_ptr<CallerSession> CallerExchange::Private::detachSession()
 {
     if (isOver) {
@@ -359,7 +360,7 @@
         session->connection->write(bytes);
         return;
     }
-    static std::string chunk; // one loop on one thread: reused, so that events allocate nothing
+    static std::string chunk; // there is one loop on one thread; reused, so that sending an event allocates no memory
     chunk.clear();
     appendChunk(chunk, bytes);
     session->connection->write(chunk);
@@ -386,7 +387,8 @@
     --session->owner->openExchanges;
     session->isAnswering = false;
     session->exchange.reset();
-    // An HTTP/1.0 caller takes an orderly close for the end of the answer; a reset it can't.
+    // A chunked response without its last chunk is recognisably incomplete. Without chunks an orderly close may mark the end
+    // of the response, as it does for HTTP/1.0 callers; a reset does not.
     if (d->isChunked || !d->isBegun) {
         session->connection->close();
     } else {
--- a/src/relay/connection.cpp
+++ b/src/relay/connection.cpp
@@ -18,15 +18,16 @@
 
 // [SECTION] Sockets
 
-/// Unanswered bytes are waited for this long, then the connection fails: a peer without power never resets it. Two
-/// retransmissions fit in, so that a lost packet is no failure.
+/// A connection whose sent bytes stay unacknowledged for this long fails, as a peer that lost power never resets it. Long
+/// enough for two retransmissions, so that a lost packet does not fail the connection.
 constexpr milliseconds sendTimeout{2500};
-/// An idle connection is probed after this time, then once a second; the third unanswered probe ends it.
+/// An idle connection is probed after this time, then once a second. After two unanswered probes, it ends when the third
+/// would be due.
 constexpr int keepAliveSeconds = 2;
 constexpr int keepAliveProbes = 2;
-constexpr milliseconds lingerTime{1000};          ///< see closeAfterWriting(); longer than a round trip to any caller
-constexpr std::size_t maxReadBytes = 64 * 1024;   ///< most bytes taken from a socket in one go
-constexpr std::size_t maxInputBytes = 256 * 1024; ///< reading stops while the owner leaves more than this
+constexpr milliseconds lingerTime{1000};          ///< for closeAfterWriting(); longer than a round trip to any caller
+constexpr std::size_t maxReadBytes = 64 * 1024;   ///< upper bound of one read from a socket
+constexpr std::size_t maxInputBytes = 256 * 1024; ///< reading stops while more than this is unprocessed
 
 const char *toString(ConnectionEnd end)
 {
@@ -43,7 +44,7 @@
 
 static void setOption(int socket, int level, int name, int value)
 {
-    // A socket without one of these still works; it only fails later.
+    // Errors are ignored: a socket without one of these options still works and only detects a lost peer later.
     setsockopt(socket, level, name, &value, sizeof value);
 }
 
@@ -72,14 +73,14 @@
     int socket = -1;
     event *readEvent = nullptr;
     event *writeEvent = nullptr;
-    std::unique_ptr<Timer> timeoutTimer; ///< of connecting, then of closing
+    std::unique_ptr<Timer> timeoutTimer; ///< limits connecting, later closing
     Handlers handlers;
     std::string input;
-    std::string output;           ///< not yet taken by the socket
-    std::size_t outputOffset = 0; ///< first byte of `output` that was not sent
+    std::string output;           ///< buffered until the socket accepts it
+    std::size_t outputOffset = 0; ///< offset of the first byte of `output` that was not sent
     bool isConnected = true;
     bool isPaused = false;
-    bool isClosing = false; ///< in closeAfterWriting()
+    bool isClosing = false; ///< closeAfterWriting() was called
     bool hasWritten = false;
 
     void release()
@@ -105,7 +106,7 @@
     d->release();
 }
 
-/// Ends a connection and tells its owner, once.
+/// Closes a connection and calls its onEnd handler, at most once.
 static void endConnection(Connection &connection, Connection::Handlers &handlers, ConnectionEnd end)
 {
     const auto onEnd = std::move(handlers.onEnd);
@@ -136,7 +137,7 @@
                 self->pauseReading(true);
             }
             if (data.handlers.onInput) {
-                // A copy: the handler may replace the handlers.
+                // Call a copy, as the handler may replace the handlers.
                 const auto onInput = data.handlers.onInput;
                 onInput();
             }
@@ -218,7 +219,8 @@
     std::size_t sent = 0;
     if (!bytes.empty() && d->isConnected) {
         const ssize_t size = send(d->socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-        // A failed socket becomes readable: the end is told from the loop, never from inside a caller's write().
+        // Errors are ignored here: a failed socket becomes readable, so that onEnd is called from the loop and never from
+        // within write().
         sent = size > 0 ? size : 0;
         d->hasWritten = d->hasWritten || sent > 0;
     }
@@ -283,7 +285,7 @@
 
 void Connection::close()
 {
-    // Handlers hold their owners, which hold this connection: without this neither would ever be freed.
+    // The handlers hold references to their owners, which hold this connection: clearing them breaks the reference cycle.
     const Handlers dropped = std::move(d->handlers);
     d->handlers = {};
     d->release();
@@ -324,7 +326,7 @@
     evconnlistener *listener = nullptr;
 };
 
-constexpr int listenBacklog = 512; ///< connections that wait to be accepted: all callers of a data centre coming back at once
+constexpr int listenBacklog = 512; ///< not yet accepted connections: enough for all callers of a data centre reconnecting at once
 
 Listener::Listener(EventLoop &loop, Handler handler)
     : d(std::make_unique<Private>(Private{loop, std::move(handler)}))
--- a/src/relay/connection.h
+++ b/src/relay/connection.h
@@ -1,7 +1,8 @@
-// A TCP connection on the loop: bytes in, bytes out, with a limit on what may be waiting.
+// Non-blocking TCP connections and listeners on the event loop.
 //
-// Writes go to the socket at once; only what it does not take waits for the loop. A relayed event costs one read and one
-// write, where buffered writes of the library cost two more system calls each.
+// Reading stops while too much received data is unprocessed. Writes go to the socket immediately; only bytes that the
+// socket does not accept are buffered until the loop reports it writable. A relayed event therefore costs one read and one
+// write, where libevent's buffered writes cost two more system calls each.
 #pragma once
 
 #include "base/address.h"
@@ -18,48 +19,50 @@
 
 /// How a connection ended.
 enum class ConnectionEnd : std::uint8_t {
-    PeerClosed,    ///< the peer closed it in order
-    Reset,         ///< reset, or failed otherwise
-    NotEstablished ///< it was never established
+    PeerClosed,    ///< the peer closed it with an orderly shutdown
+    Reset,         ///< it was reset or failed in another way
+    NotEstablished ///< it could not be established
 };
 const char *toString(ConnectionEnd end);
 
-/// A connection. Its owner holds the pointer; callbacks come on the loop and may drop it.
+/// A TCP connection. The owner holds the pointer; handlers are called from the event loop and may release it.
 class Connection : public std::enable_shared_from_this<Connection>
 {
 public:
     struct Handlers {
-        std::function<void()> onConnected;        ///< a connection that was begun here is established
-        std::function<void()> onInput;            ///< input() has grown
-        std::function<void(ConnectionEnd)> onEnd; ///< once; not after close()
-        std::function<void()> onDrained;          ///< all that was written has been handed to the socket
+        std::function<void()> onConnected;        ///< an outgoing connection is established
+        std::function<void()> onInput;            ///< bytes were appended to input()
+        std::function<void(ConnectionEnd)> onEnd; ///< called at most once, never after close()
+        std::function<void()> onDrained;          ///< all buffered bytes have been passed to the socket
     };
 
-    /// Takes over an accepted socket.
+    /// Takes ownership of an accepted socket.
     static std::shared_ptr<Connection> adopt(EventLoop &loop, int socket);
-    /// Begins a connection; onEnd tells NotMade if it fails or takes longer than `limit`.
+    /// Starts connecting; onEnd gets NotEstablished if that fails or takes longer than `timeout`. Returns null if no socket
+    /// could be created.
     static std::shared_ptr<Connection> connect(EventLoop &loop, const Address &address, milliseconds timeout);
     ~Connection();
 
     void setHandlers(Handlers handlers);
-    /// Bytes received and not yet taken. The owner erases what it used.
+    /// Bytes received and not yet processed. The owner erases what it has consumed.
     std::string &input();
     void write(std::string_view bytes);
-    /// Bytes that the socket has not taken yet.
+    /// Number of buffered bytes that the socket has not accepted yet.
     std::size_t unsentBytes() const;
-    /// Whether any byte was handed to the socket since markWrites().
+    /// Whether any byte was passed to the socket since resetHasWritten().
     bool hasWritten() const;
     void resetHasWritten();
     void pauseReading(bool isPaused);
     bool isConnected() const;
     bool isOpen() const;
-    /// Closes at once; no handler follows.
+    /// Closes immediately; no handler is called afterwards.
     void close();
-    /// Closes with a reset, so that the peer can't take what it has for a whole answer; no handler follows.
+    /// Closes with a TCP reset, so that the peer can't mistake what it has received for a complete response. No handler is
+    /// called afterwards.
     void reset();
-    /// Sends what is waiting, then closes, reading and dropping what the peer still sends for up to a second: closing with
-    /// unread bytes would reset the connection and could destroy the answer on its way. The owner keeps the connection
-    /// until `onClosed`; no other handler follows.
+    /// Sends the buffered bytes, then closes. Until then, for up to a second, bytes from the peer are read and discarded:
+    /// closing a socket with unread bytes resets the connection, which could destroy the response in transit. The owner
+    /// keeps the connection until `onClosed` is called; no other handler is called.
     void closeAfterWriting(std::function<void()> onClosed);
 
 private:
@@ -69,7 +72,7 @@
 };
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-/// Accepts connections on an address.
+/// Accepts TCP connections on one address.
 class Listener
 {
 public:
@@ -77,11 +80,11 @@
 
     Listener(EventLoop &loop, Handler handler);
     ~Listener();
-    /// Fails with the step "listen".
+    /// An error has the step "listen".
     Result<void> listen(const Address &address);
-    /// Connections that come while it does not accept wait in the system's queue.
+    /// While not accepting, new connections wait in the kernel's backlog.
     void setAccepting(bool isAccepting);
-    /// Port that was taken.
+    /// Port that the listener is bound to.
     std::uint16_t port() const;
     void close();
 
--- a/src/relay/forwarded_request.cpp
+++ b/src/relay/forwarded_request.cpp
@@ -20,7 +20,7 @@
     return std::to_string(request.routes->version.value);
 }
 
-/// Whether a field of the caller is left out: the relay sets it, or targets must not see it.
+/// Whether a field of the caller's request is dropped, because the relay sets it or targets must not see it.
 static bool isRelayField(const HeaderNames &names, std::string_view name)
 {
     const std::string_view relayFields[] = {names.deadline,  names.workspace, names.expectedTarget, names.chain, names.requestPriority,
@@ -73,7 +73,7 @@
 
 milliseconds clampedRetryAfter(milliseconds wanted, milliseconds timeLeft)
 {
-    constexpr double usableShare = 0.3; // callers wait for up to a third of the time they have left
+    constexpr double usableShare = 0.3; // callers wait for up to a third of their remaining time
     const milliseconds maxRetryAfter{static_cast<std::int64_t>(static_cast<double>(timeLeft.count()) * usableShare)};
     return std::clamp(wanted, milliseconds(1), std::max(maxRetryAfter, milliseconds(1)));
 }
--- a/src/relay/forwarded_request.h
+++ b/src/relay/forwarded_request.h
@@ -1,4 +1,5 @@
-// What the two kinds of forwarding share: the bytes for a target, refusals, and the log line at the end.
+// Functions shared by call and stream forwarding: building the request for a target, refusing and failing requests, and
+// recording outcomes in logs and metrics.
 #pragma once
 
 #include "relay/forwarding.h"
@@ -6,48 +7,49 @@
 namespace Parsleytrail
 {
 
-/// Why a request was refused, with the time after which the caller shall come back.
+/// Why a request is refused and when the caller should retry.
 struct Refusal {
-    std::string_view reason; ///< for the log and the body
-    milliseconds retryAfter; ///< until when the cause is expected to be gone
-    std::string inputs{};    ///< what decided it, for the log
+    std::string_view reason; ///< written to the log and the response body
+    milliseconds retryAfter; ///< estimated time until the request can be served
+    std::string inputs{};    ///< values the decision was based on, for the log
 };
 
-/// A field that the relay adds to a request.
+/// A header field that the relay sets on a request, replacing the caller's.
 struct AddedField {
-    std::string_view name; ///< as sent
-    std::string value;     ///< as sent
+    std::string_view name; ///< as written to the wire
+    std::string value;     ///< as written to the wire
 };
 
-/// What is logged of a whole answer.
+/// Properties of a complete response, for log and metrics.
 struct ServedResponse {
-    int status = 0;             ///< of the target
-    std::string target;         ///< that answered; of a stream the first engine of the last chain
-    int attempts = 0;           ///< targets that the request was sent to
-    TimePoint firstByteAt{};    ///< of the answer
-    milliseconds longestGap{0}; ///< between two events of a stream
+    int status = 0;             ///< HTTP status from the target
+    std::string target;         ///< target that responded; for a stream the first engine of the last chain
+    int attempts = 0;           ///< number of attempts that a target may have started
+    TimePoint firstByteAt{};    ///< first byte of the response
+    milliseconds longestGap{0}; ///< longest time between two events of a stream
 };
 
-/// Bytes of the request for a target. Fields of one connection, the caller's key and fields that the relay sets itself
-/// are left out.
+/// Serializes the request for a target. Connection-specific fields, the caller's API key and fields that the relay sets
+/// itself are not copied from the caller's request.
 std::string serializeRequest(const RelayContext &context, const ForwardedRequest &request, const TargetId &target, const std::vector<AddedField> &added);
 
-/// A time after which a caller that still waits for `left` can come back: one told a longer time does not come back at all.
+/// Limits a Retry-After time for a caller that waits for `timeLeft` at most: callers that are given a longer time don't retry.
 milliseconds clampedRetryAfter(milliseconds wanted, milliseconds timeLeft);
-/// Refuses a request that has certainly not run and will not: 503 with Retry-After.
+/// Refuses a request that has certainly not run and will not run: 503 with Retry-After.
 void refuseRequest(RelayContext &context, const ForwardedRequest &request, const Refusal &refusal, int attempts);
-/// Answers a request that may have run: 504 if its time is up, else 502; cuts the answer if it was begun.
+/// Fails a request that may have run: 504 after its deadline, otherwise 502. A response that was already begun is aborted.
 void failRequest(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts);
-/// Logs and counts a request that was answered whole.
+/// Records a request with a complete response in log and metrics.
 void recordServed(RelayContext &context, const ForwardedRequest &request, const ServedResponse &response);
 void recordCallerDisconnected(RelayContext &context, const ForwardedRequest &request, int attempts);
 void recordRetry(RelayContext &context, const ForwardedRequest &request, std::string_view reason, std::string_view target, int attempts);
 
-/// Whether an answer tells that the target did not run the request.
+/// Whether a response states that the target did not run the request.
 bool reportsNotExecuted(const HeaderNames &names, const HttpHead &head);
-/// Whether an answer is the target's own: id echoed, seal there, body as the target made it.
+/// Whether a response was produced by the target itself: it echoes the attempt id, has a seal, and has no content encoding,
+/// so that the body is as the target made it.
 bool isAuthenticResponse(const HeaderNames &names, const HttpHead &head, const std::string &attemptId);
-/// Whether a status promises that the request has not run and never will.
+/// Whether callers treat a status as a guarantee that the request has not run and never will.
 bool guaranteesNotRun(int status);
 
 } // namespace Parsleytrail
--- a/src/relay/forwarding.h
+++ b/src/relay/forwarding.h
@@ -1,10 +1,10 @@
-// Forwarding one request of a caller to targets, and the answer back.
+// Forwards one request of a caller to targets and relays the response.
 //
-//     const ForwardingPtr forwarding = makeForwarding(context, exchange, route, service, owner);
+//     const ForwardingPtr forwarding = makeForwarding(context, std::move(request), hooks);
 //     forwarding->begin();
 //
-// A forwarding ends by itself: with a target's whole answer, with a refusal, with a failure, or because the caller left.
-// What may be repeated follows from the kind of the route alone.
+// A forwarding ends by itself: with a complete response, a refusal, a failure, or because the caller disconnected. Whether a
+// request that may have run can be retried depends on its route alone.
 #pragma once
 
 #include "policy/routes.h"
@@ -17,56 +17,58 @@
 namespace Parsleytrail
 {
 
-/// A request with what was decided about it when it came.
+/// A request with the routing decisions made on its arrival.
 struct ForwardedRequest {
-    CallerExchangePtr exchange;               ///< the caller's
-    std::shared_ptr<const RouteTable> routes; ///< in force when it came; keeps route and service alive
-    const Route *route = nullptr;             ///< of `routes`
-    const ServiceSpec *service = nullptr;     ///< of `routes`
+    CallerExchangePtr exchange;               ///< request and response channel of the caller
+    std::shared_ptr<const RouteTable> routes; ///< configuration in force on arrival; keeps `route` and `service` alive
+    const Route *route = nullptr;             ///< part of `routes`
+    const ServiceSpec *service = nullptr;     ///< part of `routes`
     WorkspaceName workspace;                  ///< empty on public routes
-    int priority = 5;                         ///< of the workspace or the route; 0 is the most urgent
-    std::string attemptId;                    ///< of the caller
-    TimePoint deadline{};                     ///< the caller or the operator waits no longer
+    int priority = 5;                         ///< from the workspace or the route; 0 is the most urgent
+    std::string attemptId;                    ///< attempt id given by the caller
+    TimePoint deadline{};                     ///< earlier of the caller's deadline and the configured timeout
 };
 
-/// A request on its way.
+/// A request being forwarded.
 class Forwarding : public std::enable_shared_from_this<Forwarding>
 {
 public:
     virtual ~Forwarding() = default;
     virtual void begin() = 0;
-    /// Called every forwardingTick.
+    /// Called every forwardingCheckInterval.
     virtual void checkTimeouts(TimePoint now) = 0;
-    /// A target was found to be dead: what waits for it is moved.
+    /// Called when a target was found to have failed: a request that waits for it is moved to other targets.
     virtual void handleFailedTarget(const TargetId &id) = 0;
-    /// Called every leaveCheckInterval: leaves engines of its chain that are about to go.
+    /// Called every leavingEngineCheckInterval: moves the request off engines of its chain that drain or give up its layers.
     virtual void moveOffLeavingEngines() = 0;
     virtual bool isOver() const = 0;
-    /// Lets go of caller and target without a word: the relay is being destroyed. They hold each other otherwise.
+    /// Drops caller and target without responding, because the relay is being destroyed. Breaks the reference cycle between
+    /// the forwarding and its exchanges.
     virtual void abandon() = 0;
-    /// Engines that the request passes through now; empty if it waits for no engine.
+    /// Engines that currently process the request; empty if it waits for no engine.
     virtual const std::vector<ChainPart> &chain() const = 0;
-    /// When it last got on: the start of the attempt or its last event.
+    /// When the request last made progress: start of the attempt or last event.
     virtual TimePoint lastProgressAt() const = 0;
 };
 using ForwardingPtr = std::shared_ptr<Forwarding>;
 
-/// How often time-outs and stalls of requests are looked at; an eighth of the shortest pause that matters.
+/// Interval of checking requests for timeouts and stalls; an eighth of the shortest pause that matters.
 constexpr milliseconds forwardingCheckInterval{25};
 
-/// How often streams look whether an engine of their chain is draining or gives up their layers: several times within the
-/// shortest notice, which is seconds.
+/// Interval of checking whether an engine of a stream's chain drains or gives up the stream's layers. Engines announce this
+/// seconds ahead, so that several checks fit in.
 constexpr milliseconds leavingEngineCheckInterval{200};
 
-/// Callbacks of a forwarding to its relay.
+/// Callbacks from a forwarding to its relay.
 struct ForwardingHooks {
-    /// Asks an engine for a report: what it holds, and which engine the requests that it began wait for.
+    /// Requests a report from an engine: the layers it holds, and which engines the requests that it started wait for.
     std::function<void(const TargetId &engine)> requestEngineReport;
-    /// Tells a request's first engine to go on through another chain; calls back whether it does.
+    /// Orders a request's first engine to continue through another chain; `done` gets whether the engine accepted.
     std::function<void(const std::string &attemptId, const std::vector<ChainPart> &chain, std::function<void(bool)> done)> moveStream;
 };
 
-/// A stream without an event for this long has stalled: a small multiple of the usual gap, as gaps are even within a chain.
+/// Time without an event after which a stream counts as stalled: a small multiple of the usual gap between events, as gaps
+/// vary little within a chain.
 milliseconds stallThreshold(const RelayContext &context);
 
 ForwardingPtr makeForwarding(RelayContext &context, ForwardedRequest request, const ForwardingHooks &hooks);
--- a/src/relay/http_message.cpp
+++ b/src/relay/http_message.cpp
@@ -12,8 +12,8 @@
 
 // [SECTION] Heads
 
-constexpr std::size_t maxChunkLineBytes = 256;  ///< size of a chunk with extensions; longer lines are refused
-constexpr std::size_t maxEventBytes = 1u << 20; ///< an event without an end is given up at this size
+constexpr std::size_t maxChunkLineBytes = 256;  ///< chunk size line with extensions, or trailer line; longer lines are rejected
+constexpr std::size_t maxEventBytes = 1u << 20; ///< more bytes than this without the end of an event are rejected
 
 static bool isTokenChar(char c)
 {
@@ -27,7 +27,7 @@
     return !text.empty() && std::all_of(text.begin(), text.end(), isTokenChar);
 }
 
-/// Whether a field value or a request target holds no control character that ends or splits lines elsewhere.
+/// Whether a field value or request target is free of control characters, which other programs could treat as line ends.
 static bool isPrintable(std::string_view text, bool allowsBlanks)
 {
     return std::all_of(text.begin(), text.end(), [allowsBlanks](char c) {
@@ -85,7 +85,7 @@
     return isHttp11 || listHas("Connection", "keep-alive");
 }
 
-/// Finds the end of the head; copies it into `head` if it is there.
+/// Copies the text of the head into `head` if its end was received and it is within the limit.
 static ParseResult extractHeadText(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
     const std::size_t end = input.find("\r\n\r\n");
@@ -150,7 +150,7 @@
 
 ParseResult parseResponseHead(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
-    // Bytes that can't become an answer are found at once: a target that sends no HTTP would be waited for otherwise.
+    // Reject bytes that can't become a response immediately: a peer that doesn't speak HTTP may never send the end of a head.
     static constexpr std::string_view httpPrefix = "HTTP/1.";
     if (input.substr(0, httpPrefix.size()) != httpPrefix.substr(0, input.size())) {
         return ParseResult::Malformed;
@@ -169,7 +169,7 @@
 
 // [SECTION] Bodies
 
-/// Framing by fields; `hasNeither` if there is none of them.
+/// Derives the framing from Content-Length and Transfer-Encoding; sets `hasNoFraming` if neither is present.
 static BodyPlan planBody(const HttpHead &head, bool &hasNoFraming)
 {
     BodyPlan plan;
@@ -196,7 +196,7 @@
         plan.isAmbiguous = !equalsIgnoringCase(encoding, "chunked") || !head.isHttp11;
         plan.reader.framing = BodyFraming::Chunked;
     } else {
-        constexpr std::size_t maxDigits = 15; // far above any limit on bodies, far below overflow
+        constexpr std::size_t maxDigits = 15; // far above any body size limit, and can't overflow 64 bits
         const bool isNumber = !length.empty() && length.size() <= maxDigits && std::all_of(length.begin(), length.end(), [](char c) {
             return c >= '0' && c <= '9';
         });
@@ -230,7 +230,7 @@
     return plan;
 }
 
-/// Reads the line with a chunk's size. Returns the bytes used; 0 if it is not whole yet.
+/// Parses the line with a chunk's size. Returns the bytes consumed, 0 if the line is incomplete or malformed.
 static std::size_t readChunkLine(BodyReader &reader, std::string_view input)
 {
     const std::size_t end = input.find("\r\n");
@@ -240,7 +240,7 @@
     }
     const std::string_view line = input.substr(0, end);
     const std::string_view digits = trimmed(line.substr(0, line.find(';')));
-    constexpr std::size_t maxDigits = 12; // far above any limit on bodies, far below overflow
+    constexpr std::size_t maxDigits = 12; // far above any body size limit, and can't overflow 64 bits
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), reader.remaining, 16);
     if (error != std::errc() || stop != digits.data() + digits.size() || digits.size() > maxDigits) {
         reader.isMalformed = true;
@@ -251,7 +251,7 @@
     return end + 2;
 }
 
-/// Skips a trailer line; the empty one completes the body.
+/// Skips a trailer line; an empty line completes the body. Returns the bytes consumed.
 static std::size_t readTrailerLine(BodyReader &reader, std::string_view input)
 {
     const std::size_t end = input.find("\r\n");
--- a/src/relay/http_message.h
+++ b/src/relay/http_message.h
@@ -1,13 +1,13 @@
-// Heads and bodies of HTTP/1.1 messages, parsed strictly.
+// Strict parser for the heads and bodies of HTTP/1.1 messages and for the events of event streams.
 //
 //     HttpHead head;
 //     switch (parseRequestHead(input, 16384, head)) { case ParseResult::Complete: ... }
-//     BodyReader body = requestBody(head).value;
+//     BodyReader body = planRequestBody(head).reader;
 //     input.erase(0, readBody(body, input, out));
 //
-// evhttp and libevhtp rewrite what they relay: they merge fields, hide how a body ended and can't hold back a cut
-// answer. A relay that must pass bytes on unchanged, and must tell a whole answer from one that was cut, reads them
-// itself. The parser refuses whatever two programs could read differently: that is how requests are smuggled.
+// evhttp and libevhtp don't fit a relay: they rewrite messages, merge header fields, hide how a body ended and can't hold
+// back a truncated response. A relay must pass bytes on unchanged and tell a complete response from a truncated one. The
+// parser rejects every message that two programs could read differently, as such differences allow request smuggling.
 #pragma once
 
 #include <cstdint>
@@ -19,91 +19,92 @@
 namespace Parsleytrail
 {
 
-/// How far a parser got.
+/// Result of a parse attempt.
 enum class ParseResult : std::uint8_t {
     Incomplete, ///< more bytes are needed
-    Complete,   ///< done
-    Malformed,  ///< no HTTP/1.1 message, or an ambiguous one
-    TooLarge    ///< over the limit given
+    Complete,   ///< the element was parsed
+    Malformed,  ///< not an HTTP/1.0 or HTTP/1.1 message, or ambiguous
+    TooLarge    ///< larger than the given limit
 };
 
-/// A header field; points into the head's text.
+/// A header field; both views point into HttpHead::text.
 struct HeadField {
-    std::string_view name;  ///< as sent
-    std::string_view value; ///< without surrounding blanks
+    std::string_view name;  ///< spelled as received
+    std::string_view value; ///< without leading and trailing blanks
 };
 
-/// Head of a request or an answer. Not copyable: its parts point into `text`.
+/// Head of a request or a response. Not copyable, as its views point into `text`.
 struct HttpHead {
     HttpHead() = default;
     HttpHead(const HttpHead &) = delete;
     HttpHead &operator=(const HttpHead &) = delete;
 
-    std::string text;              ///< whole head, with the empty line
-    std::string_view method;       ///< of a request
-    std::string_view target;       ///< of a request: path and query, as sent
-    std::string_view statusLine;   ///< of an answer, without line end
-    int status = 0;                ///< of an answer
+    std::string text;              ///< entire head, including the empty line at its end
+    std::string_view method;       ///< requests only
+    std::string_view target;       ///< requests only: path and query as received
+    std::string_view statusLine;   ///< responses only: first line without its line end
+    int status = 0;                ///< responses only
     bool isHttp11 = true;          ///< false: HTTP/1.0
-    std::vector<HeadField> fields; ///< in order
+    std::vector<HeadField> fields; ///< in the order received
 
-    /// Path of the target, without its query.
+    /// Path of the request target, without the query.
     std::string_view path() const;
-    /// First field of that name, any case; empty if there is none.
+    /// Value of the first field of that name, ignoring case; empty if there is none.
     std::string_view find(std::string_view name) const;
     bool has(std::string_view name) const;
-    /// Whether a list-valued field holds a word, any case.
+    /// Whether a field with a comma-separated list contains `word`, ignoring case.
     bool listHas(std::string_view name, std::string_view word) const;
     /// Whether the connection stays open after this message.
     bool keepsConnection() const;
 };
 
-/// Reads a head from the start of `input` and copies it; does not consume it: head.text.size() bytes are the caller's to drop.
+/// Parses a head at the start of `input` and copies it into `head`. Nothing is removed from `input`: the caller drops
+/// head.text.size() bytes.
 ParseResult parseRequestHead(std::string_view input, std::size_t maxBytes, HttpHead &head);
 ParseResult parseResponseHead(std::string_view input, std::size_t maxBytes, HttpHead &head);
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 enum class BodyFraming : std::uint8_t {
     None,      ///< no body
     Length,    ///< Content-Length
     Chunked,   ///< Transfer-Encoding: chunked
-    UntilClose ///< an answer that ends with its connection
+    UntilClose ///< a response that ends when its connection is closed
 };
 
-/// Progress through a body.
+/// State of reading one body.
 struct BodyReader {
     BodyFraming framing = BodyFraming::None;
-    std::uint64_t remaining = 0; ///< bytes left of the body, or of the current chunk
-    bool isInChunk = false;      ///< chunked: `left` bytes of data, then a line end, follow
-    bool isInTrailer = false;    ///< chunked: the last chunk was read
-    bool isComplete = false;     ///< nothing of the body is missing
-    bool isMalformed = false;    ///< framing is broken; the connection can't be used any more
+    std::uint64_t remaining = 0; ///< bytes still to read of the body, or of the current chunk
+    bool isInChunk = false;      ///< chunked: `remaining` bytes of data and a line end follow
+    bool isInTrailer = false;    ///< chunked: the last chunk was read, trailer lines follow
+    bool isComplete = false;     ///< the entire body was read
+    bool isMalformed = false;    ///< the framing is invalid; the connection can't be used any more
 };
 
-/// A body reader, or that the head is ambiguous.
+/// Body framing derived from a head.
 struct BodyPlan {
-    BodyReader reader;        ///< valid if isAmbiguous is false
+    BodyReader reader;        ///< only valid if isAmbiguous is false
     bool isAmbiguous = false; ///< conflicting or malformed framing fields
 };
 BodyPlan planRequestBody(const HttpHead &head);
-/// `isHead`: the request was HEAD, whose answers have no body.
+/// `isHead`: the request method was HEAD, whose responses have no body.
 BodyPlan planResponseBody(const HttpHead &head, bool isHead);
-/// Takes body bytes from `input` and appends them to `out`; returns the bytes of `input` that were used.
+/// Decodes body bytes from `input` and appends them to `out`. Returns the number of bytes of `input` that were consumed.
 std::size_t readBody(BodyReader &reader, std::string_view input, std::string &out);
 
-/// Whether a field belongs to one connection only and is not passed on; `head` may name more in Connection.
+/// Whether a field applies to one connection only and must not be forwarded. `head` may name further such fields in Connection.
 bool isConnectionField(const HttpHead &head, std::string_view name);
 
-/// Appends one chunk with `bytes`, which are not empty.
+/// Appends `bytes`, which must not be empty, as one chunk.
 void appendChunk(std::string &out, std::string_view bytes);
 
-/// One event of an event stream.
+/// One event of a server-sent event stream.
 struct StreamEvent {
-    std::string_view bytes; ///< whole, with the empty line at its end
-    std::uint64_t id = 0;   ///< of its id line
-    bool hasId = false;     ///< false for comments and events without id
+    std::string_view bytes; ///< entire event, including the empty line at its end
+    std::uint64_t id = 0;   ///< value of its id line
+    bool hasId = false;     ///< false for comments and events without a numeric id
 };
-/// Reads the first whole event of `input`; Incomplete if its end is not there yet.
+/// Parses the first event of `input`. Incomplete if its end was not received yet, TooLarge above 1 MiB without an end.
 ParseResult parseEvent(std::string_view input, StreamEvent &event);
 
 } // namespace Parsleytrail
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -1,4 +1,5 @@
-// Forwarding to engines: a chain for each attempt, events passed on one by one, resumed where they broke off.
+// Forwarding of streams to engines. Each attempt selects a chain of engines, relays complete events one by one, and resumes
+// after the last event relayed before it.
 #include "relay/target_forwarding.h"
 
 #include "base/log.h"
@@ -13,44 +14,46 @@
 namespace Parsleytrail
 {
 
-/// Reading from an engine stops while its caller has this much to take.
+/// Reading from an engine pauses while more than this is buffered for its caller.
 constexpr std::size_t maxUnsentBytes = 64 * 1024;
-/// A stream that has begun waits this long for a chain to go on. Callers leave after two seconds without an event: it is
-/// theirs to end the answer.
+/// How long a stream whose response has begun waits for a chain to continue. Callers disconnect after two seconds without an
+/// event; the wait is longer, so that it is the caller that ends the response.
 constexpr milliseconds maxCallerPause{2500};
-/// Between two looks for a chain.
+/// Interval of searching for a chain while waiting for one.
 constexpr milliseconds chainSearchInterval{150};
-/// A stream with no near way around an engine that is about to go begins anew elsewhere after this time: loads that the
-/// engine is to make wait for it.
+/// A stream that has no chain within the data centre that avoids a leaving engine is restarted elsewhere after this time, as
+/// the engine's next loads of layers wait until the stream has left.
 constexpr milliseconds leavingRestartDelay{400};
-/// A stream with a dead engine in its chain looks for a way around it this often: loads of lost layers take some hundred
-/// milliseconds, and an order to a first engine is answered within a few.
+/// Interval of searching for a chain around a failed engine: loading lost layers takes some hundred milliseconds, and a first
+/// engine responds to an order within a few milliseconds.
 constexpr milliseconds moveRetryInterval{150};
-/// An answer that is no stream (a failure) is held up to this size.
+/// A response that is not a stream, such as an error, is buffered up to this size.
 constexpr std::size_t maxBufferedResponseBytes = 64 * 1024;
-/// A stream is not sent again with less time than this left: reading its prompt takes some hundred milliseconds.
+/// A stream is not retried with less time than this remaining, as processing its prompt takes some hundred milliseconds.
 constexpr milliseconds minAttemptTime{300};
-/// A stream without an event for this long is looked into: several times what passes through a whole chain take.
+/// After this long without an event the first engine is queried for a report: several times the duration of a pass through an
+/// entire chain.
 constexpr milliseconds eventStallTimeout{350};
-/// The same before the first event, when the prompt is read piece by piece between the passes of others.
+/// The same before the first event, while the prompt is processed in parts between the passes of other streams.
 constexpr milliseconds firstEventStallTimeout{900};
-/// A stalled stream's gap counts as this much at most, so that stalls do not make stalls look usual.
+/// Upper bound of a gap's contribution to the usual gap, so that stalls don't raise the stall threshold.
 constexpr double maxUsualGapMs = 250;
-/// Shortest and longest time without an event that counts as a stall; a stream is late after some 200 ms, and asking all
-/// engines of its chain costs little. In calm times 99 of 100 streams have no gap over 105 ms.
+/// Bounds of the stall threshold. A stream is late after some 200 ms, and querying all engines of its chain is cheap. Under
+/// normal conditions 99 of 100 streams have no gap above 105 ms.
 constexpr double minStallMs = 90;
 constexpr double maxStallMs = 350;
-/// Stall threshold as a multiple of the usual gap.
+/// Ratio of the stall threshold to the usual gap.
 constexpr double stallFactor = 1.9;
-/// How often a stalled stream's first engine is asked again.
+/// Interval of querying a stalled stream's first engine.
 constexpr milliseconds stallQueryInterval{250};
-/// A report is not asked for again before: engines are slow for seconds, and every entry asks.
+/// No new report is requested while the last one is younger: engines are slow for seconds, and every entry requests reports.
 constexpr milliseconds minReportAge{2000};
-/// After this many stall times without an event, the stream is moved though nobody knows which engine is at fault.
+/// After this many stall timeouts without an event the stream is restarted even if the faulty engine is unknown.
 constexpr int stallsBeforeRestart = 4;
-/// When layers without a holder are expected to be loaded again: an order, a load of some layers, and the report of it.
+/// Estimated time until uncovered layers are loaded again: an order, a load of some layers, and the report of it.
 constexpr milliseconds coverageRetryAfter{1800};
-/// When KV cache is expected to be free again: a fraction of a usual answer's time, spread so that callers do not return together.
+/// Estimated time until KV cache is free again: a fraction of the duration of a usual response, with a random spread so that
+/// callers don't retry simultaneously.
 constexpr milliseconds capacityRetryAfter{1200};
 constexpr milliseconds capacityRetrySpread{2800};
 
@@ -118,27 +121,27 @@
     StreamDemand m_demand;
     std::vector<ChainPart> m_chain;
     std::set<TargetId> m_excluded;
-    std::string m_bufferedBody;        ///< of an answer that is no stream
-    std::uint64_t m_lastEventId = 0;   ///< id of the last event passed on
-    std::uint64_t m_resumeAfterId = 0; ///< id after which the caller wants events
-    TimePoint m_lastProgressAt{};      ///< of the start of the attempt or its last event
-    TimePoint m_chainSearchedAt{};     ///< when a chain was last looked for while waiting
-    TimePoint m_leavingSince{};        ///< when an engine of the chain was first seen to be about to go, with no near way around it
-    TimePoint m_queriedAt{};           ///< when the first engine was last asked for stalls
+    std::string m_bufferedBody;        ///< body of a response that is not a stream
+    std::uint64_t m_lastEventId = 0;   ///< id of the last event relayed
+    std::uint64_t m_resumeAfterId = 0; ///< the caller requested the events after this id
+    TimePoint m_lastProgressAt{};      ///< start of the attempt or its last event
+    TimePoint m_chainSearchedAt{};     ///< last search for a chain while waiting for one
+    TimePoint m_leavingSince{};        ///< since when an engine of the chain is leaving and no chain of the data centre avoids it
+    TimePoint m_queriedAt{};           ///< when the first engine was last queried because of a stall
     TimePoint m_firstByteAt{};
-    TimePoint m_lastEventAt{};    ///< of the last event passed on
-    milliseconds m_longestGap{0}; ///< between two events passed on
-    int m_refusals = 0;           ///< attempts that engines refused without running them
-    bool m_isStream = false;      ///< this attempt's answer is an event stream
-    bool m_hasEvents = false;     ///< this attempt has brought events
+    TimePoint m_lastEventAt{};    ///< when the last event was relayed
+    milliseconds m_longestGap{0}; ///< longest time between two relayed events
+    int m_refusals = 0;           ///< number of attempts refused by engines without running them
+    bool m_isStream = false;      ///< the response of this attempt is an event stream
+    bool m_hasEvents = false;     ///< events of this attempt were relayed
     bool m_isReserved = false;
-    bool m_isWaitingForChain = false; ///< the answer has begun and no chain is there to go on
-    TimePoint m_moveAttemptedAt{};    ///< when another chain was last looked for while the request runs
-    int m_moves = 0;                  ///< times the running request was given another chain
-    bool m_isEventMissing = false;    ///< an event was missing: this attempt can't be passed on
+    bool m_isWaitingForChain = false; ///< the response has begun, and there is no chain to continue it
+    TimePoint m_moveAttemptedAt{};    ///< last search for another chain for the running request
+    int m_moves = 0;                  ///< how often the running request was ordered to another chain
+    bool m_isEventMissing = false;    ///< an event is missing, so that this attempt can't be relayed
 };
 
-/// Refusals by engines after which a stream is not tried elsewhere: each costs a round trip and a share of the budget.
+/// A stream is not retried after this many refusals by engines: each costs a round trip and a share of the retry budget.
 constexpr int maxRefusals = 3;
 
 void StreamForwarding::begin()
@@ -159,7 +162,7 @@
     double maxAnswerTokens = 0;
     if (counts.size() == 2 && parseNumber(counts[0], m_demand.promptTokens) && parseNumber(counts[1], maxAnswerTokens)) {
         double estimate = 0;
-        // The caller's estimate is right at the median but often far off: it is mixed with the usual length.
+        // The caller's estimate is right in the median but often far off, so it is averaged with the usual length.
         if (parseNumber(head.find(names.answerEstimate), estimate)) {
             m_demand.answerTokens = (estimate + model.usualAnswerTokens) / 2;
         }
@@ -195,7 +198,7 @@
 void StreamForwarding::handleMissingChain(const ChainSituation &situation)
 {
     if (m_mayHaveRun && situation.now - m_lastEventAt < maxCallerPause) {
-        // The caller has a part of its answer and waits for the rest; a gap is often filled in this time.
+        // The caller has received a part of its response; uncovered layers are often loaded before it disconnects.
         m_isWaitingForChain = true;
         m_chain.clear();
         return;
@@ -225,7 +228,8 @@
     return situation;
 }
 
-/// A chain inside one data centre, or else one across them while the pipe between them has room.
+/// Selects a chain within one data centre. If there is none, selects one across data centres, provided that the budget for
+/// traffic between them allows it.
 std::vector<ChainPart> StreamForwarding::findChain(const ChainSituation &situation)
 {
     ChainTuning tuning;
@@ -298,7 +302,7 @@
     body.clear();
 }
 
-/// Passes on whole events; a part of one stays until its end comes.
+/// Relays complete events; an incomplete one stays in `body` until its end arrives.
 void StreamForwarding::handleEvents(std::string &body)
 {
     std::size_t used = 0;
@@ -318,7 +322,7 @@
 
 void StreamForwarding::relayEvent(const StreamEvent &event)
 {
-    // A resumed run may begin with events that the caller has; one that begins later would leave a hole.
+    // A resumed run may repeat events that the caller already has. One that skips events would leave a gap.
     if (event.hasId && event.id <= m_lastEventId) {
         return;
     }
@@ -335,7 +339,7 @@
         const double gap = std::chrono::duration<double>(now - m_lastEventAt).count();
         requestReportsAfterLongGap(now);
         m_context.metrics.eventGap.record(gap);
-        constexpr double newShare = 0.02; // an average over the last fifty events: a second or less
+        constexpr double newShare = 0.02; // averages over about fifty events, which take a second or less
         m_context.usualGapMs += newShare * (std::min(gap * 1000, maxUsualGapMs) - m_context.usualGapMs);
     }
     m_lastEventAt = now;
@@ -348,10 +352,10 @@
     ++m_context.metrics.events;
 }
 
-/// Asks the engines of the chain for reports after a pause of more than half of what the route allows.
+/// Requests reports from the engines of the chain after a gap of more than half of the route's target gap.
 ///
-/// An engine that turned slow answers and passes events on, so that nothing else tells it from the others; all streams that
-/// pass through it are late. Once it has reported how slow it is, new chains pass by it.
+/// An engine that became slow still responds and forwards events, so that only its report distinguishes it from the others,
+/// while all streams through it are late. Once it has reported its slowdown factor, new chains avoid it.
 void StreamForwarding::requestReportsAfterLongGap(TimePoint now)
 {
     const milliseconds allowed = m_request.route->targetGap;
@@ -386,7 +390,7 @@
     end();
 }
 
-/// The engine's answer is no stream.
+/// Handles a complete response that is not a stream.
 void StreamForwarding::handleRefusal(const HttpHead &head)
 {
     const HeaderNames &names = m_context.dialect.headers();
@@ -417,7 +421,7 @@
     retryOrEnd(isAuthenticFailure ? "engine failed" : "answer is not the engine's own", true);
 }
 
-/// An engine refused its part: it drains, holds other layers, or is full.
+/// Records that an engine refused its stage, because it drains, holds other layers, or has no free capacity.
 void StreamForwarding::recordRefusedStage(const TargetId &id, int status)
 {
     Target *target = findTarget(m_context.fleet, id);
@@ -462,7 +466,8 @@
         return startAttempt();
     }
     if (isAllowed && hasTime && !mayHaveRun && m_request.exchange->isBegun()) {
-        // Refused elsewhere without having run: the caller has a part of its answer, and a chain or a retry is often there soon.
+        // This attempt has not run, and the caller has received a part of its response: wait, as a chain and a retry often become
+        // available before it disconnects.
         m_isWaitingForChain = true;
         return;
     }
@@ -474,11 +479,12 @@
     end();
 }
 
-/// Lets the first engine go on through other engines of its data centre: what the kept ones have read stays, and the caller
-/// sees a short pause. Returns false if there is no such chain.
+/// Orders the first engine to continue through other engines of its data centre. Engines that stay in the chain keep their KV
+/// cache, and the caller sees a short pause. Returns false if there is no such chain.
 ///
-/// Not through other data centres: all tokens so far would cross, some 15 MB a stream; the streams of one lost engine fill
-/// the pipe that all share for ten seconds and more. Reading the prompt anew elsewhere takes a tenth of a second.
+/// Chains through other data centres are excluded: the activations of all tokens so far would be transferred, some 15 MB a
+/// stream, and the streams of one lost engine would fill the shared link for ten seconds or more. Processing the prompt again
+/// elsewhere takes a tenth of a second.
 bool StreamForwarding::startMove()
 {
     ChainTuning localTuning;
@@ -503,11 +509,11 @@
     return true;
 }
 
-/// Whether an engine of the chain, other than the first, is gone or does not answer.
+/// Whether an engine of the chain other than the first was removed or does not respond.
 ///
-/// A stream whose engine died and that may not begin anew (its attempts or the retry budget are spent) stays at its first
-/// engine. Within a second its layers are often held by others again; until it is moved there its caller sees nothing, and
-/// leaves after some two seconds.
+/// A stream whose engine failed and that can't be restarted, because its attempts or the retry budget are used up, stays at
+/// its first engine. Other engines often hold the lost layers again within a second. Until the stream is moved to them its
+/// caller gets no events, and disconnects after some two seconds.
 bool StreamForwarding::isChainBroken(TimePoint now) const
 {
     return m_chain.size() > 1 && std::any_of(m_chain.begin() + 1, m_chain.end(), [&](const ChainPart &stage) {
@@ -516,8 +522,8 @@
            });
 }
 
-/// A draining engine goes on for seconds, and one that gives up layers waits for the streams in them before it loads
-/// others: leaving early costs reading the tokens once more, leaving late a stall.
+/// A draining engine continues to serve for seconds, and one that gives up layers waits for the streams in them before it
+/// loads others. Leaving early costs processing the tokens once more; leaving late costs a stall.
 void StreamForwarding::moveOffLeavingEngines()
 {
     if (m_isOver || !m_hasEvents || !m_exchange) {
@@ -541,7 +547,7 @@
     }
 }
 
-/// The first engine's answer to an order to move the stream; `before` is the chain that it had.
+/// Handles the first engine's response to an order to move the stream. `previousChain` is the chain before the order.
 void StreamForwarding::handleMoveResult(bool isMoved, int move, const std::vector<ChainPart> &previousChain)
 {
     if (m_isOver || move != m_moves) {
@@ -553,7 +559,8 @@
                                   {"event", std::to_string(m_lastEventId)},
                                   {"gap_ms", std::to_string(std::chrono::duration_cast<milliseconds>(m_context.clock.now() - m_lastEventAt).count())}});
     if (!isMoved) {
-        // It still waits in the chain it had: what is looked at and reserved must be that one, also if it may not begin anew.
+        // The request still runs in its previous chain. Monitoring and reservations must refer to that chain, also if the stream
+        // can't be restarted.
         reserve(-1);
         m_chain = previousChain;
         reserve(+1);
@@ -577,8 +584,8 @@
     }
 }
 
-/// Begins again after the last event at another chain, if that may be. If not, the stream stays where it is: an engine that
-/// is silent may go on, and an answer that is cut here is lost for certain.
+/// Restarts the stream on another chain after its last event, if attempts, time and retry budget allow it. Otherwise the
+/// stream stays where it is: an unresponsive engine may resume, whereas a response aborted here is certainly lost.
 void StreamForwarding::restartOnOtherChain(std::string_view reason)
 {
     const int attempts = m_isStream ? m_attempts : m_attempts + 1;
@@ -591,7 +598,7 @@
     retryOrEnd(reason, true);
 }
 
-/// Looks for a chain again, until the caller would have left.
+/// Searches for a chain again, until the caller is expected to have disconnected.
 void StreamForwarding::retryChainSearch(TimePoint now)
 {
     if (now - m_lastEventAt >= maxCallerPause) {
@@ -602,7 +609,7 @@
         return;
     }
     m_chainSearchedAt = now;
-    // Looking costs nothing; a retry is taken only for a chain that is there.
+    // Searching is free; the retry budget is consumed only if there is a chain.
     std::vector<ChainPart> chain = findChain(currentSituation());
     if (!chain.empty() && tryRetry(m_context, m_request.service->name)) {
         startOnChain(std::move(chain));
--- a/src/relay/target_exchange.cpp
+++ b/src/relay/target_exchange.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Kept connections, [SECTION] TargetExchange
+// Index: [SECTION] TargetConnectionPool, [SECTION] TargetExchange
 #include "relay/target_exchange.h"
 
 #include "base/text.h"
@@ -10,17 +10,17 @@
 namespace Parsleytrail
 {
 
-// [SECTION] Kept connections
+// [SECTION] TargetConnectionPool
 
-constexpr milliseconds connectTimeout{1000};            ///< in one region a connection takes milliseconds; a lost packet is sent again after a second
-constexpr milliseconds defaultKeepAliveTimeout{4000};   ///< for targets that do not say how long they keep idle connections
-constexpr milliseconds keepAliveMargin{1000};           ///< a target counts whole seconds, and its answer was on its way
-constexpr milliseconds sweepInterval{500};              ///< how often idle connections are looked at
-constexpr std::size_t maxResponseHeadBytes = 32 * 1024; ///< twice what callers may send
+constexpr milliseconds connectTimeout{1000};            ///< connecting within a region takes milliseconds; a lost SYN is retransmitted after a second
+constexpr milliseconds defaultKeepAliveTimeout{4000};   ///< for targets that don't send a Keep-Alive timeout
+constexpr milliseconds keepAliveMargin{1000};           ///< targets count in whole seconds, starting before the response arrives here
+constexpr milliseconds sweepInterval{500};              ///< interval of closing expired idle connections
+constexpr std::size_t maxResponseHeadBytes = 32 * 1024; ///< twice the default limit for callers' heads
 
 struct IdleConnection {
     ConnectionPtr connection;
-    TimePoint until{}; ///< not used later
+    TimePoint until{}; ///< expiry time
 };
 
 struct TargetConnectionPool::Private {
@@ -93,7 +93,7 @@
         return;
     }
     Connection::Handlers handlers;
-    // Bytes without a request belong to no request: the connection can't be trusted any more.
+    // Bytes received while no request is outstanding belong to no request: the connection is not usable any more.
     handlers.onInput = [this, address, raw = connection.get()] {
         const auto self = raw->shared_from_this();
         self->close();
@@ -132,12 +132,12 @@
     ConnectionPtr connection;
     HttpHead head;
     BodyReader bodyReader;
-    std::string body; ///< read, not yet taken by the handler
+    std::string body; ///< decoded body bytes that the handler has not consumed
     bool isReused = false;
     bool hasHead = false;
     bool isOver = false;
-    bool isSkippingBody = false; ///< reading an answer to an earlier request
-    bool isPaused = false;       ///< by the owner
+    bool isSkippingBody = false; ///< the response being read belongs to an earlier request
+    bool isPaused = false;       ///< reading was paused by the owner
 
     void finish(TargetExchange &self);
     void fail(TargetExchange &self, std::string text, bool mayHaveRun);
@@ -207,12 +207,12 @@
     return exchange;
 }
 
-/// The answer is whole: the connection is kept if nothing speaks against it.
+/// Called when the response is complete: returns the connection to the pool if it can be reused.
 void TargetExchange::Private::finish(TargetExchange &self)
 {
     const auto keepSelf = self.shared_from_this();
     isOver = true;
-    // A target may answer before it has read the whole request; what is left of it would be taken for the next one.
+    // A target may respond before it has read the entire request. It would read the next request as the remainder of this one.
     const bool isReusable =
         connection->isOpen() && connection->input().empty() && connection->unsentBytes() == 0 && bodyReader.framing != BodyFraming::UntilClose;
     const milliseconds idleTimeout = isReusable ? keepAliveTimeout(head) : milliseconds(0);
@@ -238,7 +238,7 @@
     onFailure({std::move(text), mayHaveRun, isReused, hasHead});
 }
 
-/// Reads a head. Returns false if there is none yet, or the exchange is over.
+/// Parses a head. Returns false if it is incomplete or the exchange is over.
 bool TargetExchange::Private::handleHead(TargetExchange &self)
 {
     std::string &input = connection->input();
@@ -261,7 +261,7 @@
     }
     bodyReader = plan.reader;
     const std::string_view id = head.find(request.idField);
-    // A second answer to an earlier request may stand where ours is due: its id tells.
+    // A target may have sent a second response to an earlier request on this connection. Its id differs from the expected one.
     isSkippingBody = !request.id.empty() && !id.empty() && id != request.id;
     if (isSkippingBody && (!isReused || bodyReader.framing == BodyFraming::UntilClose)) {
         fail(self, "answer with another request's id", true);
--- a/src/relay/target_exchange.h
+++ b/src/relay/target_exchange.h
@@ -1,4 +1,6 @@
-// One request to one target: kept connections, sending, and reading the answer with every doubt settled.
+// HTTP/1.1 client side of the relay: a pool of idle connections to targets, and exchanges that send one request to one
+// target and read the response. An exchange that ends without a complete response reports whether the target may have run
+// the request.
 #pragma once
 
 #include "relay/connection.h"
@@ -11,18 +13,18 @@
 namespace Parsleytrail
 {
 
-/// Kept connections to targets.
+/// Pool of idle connections to targets.
 class TargetConnectionPool
 {
 public:
     TargetConnectionPool(EventLoop &loop, const Clock &clock);
     ~TargetConnectionPool();
 
-    /// A kept connection that is known to be open; null if there is none.
+    /// Takes an open idle connection to an address out of the pool; null if there is none.
     ConnectionPtr acquireIdle(const Address &address);
-    /// Keeps an idle connection for up to `time`.
+    /// Puts an idle connection into the pool for up to `idleTimeout`; closes it if that is zero or less.
     void release(const Address &address, const ConnectionPtr &connection, milliseconds idleTimeout);
-    /// Drops all kept connections to an address: its target is gone.
+    /// Closes all idle connections to an address whose target was removed.
     void drop(const Address &address);
     EventLoop &loop() const;
 
@@ -31,38 +33,38 @@
     std::unique_ptr<Private> d;
 };
 
-/// Why there is no (whole) answer.
+/// Why there is no complete response.
 struct TargetFailure {
-    std::string text;             ///< for logs
-    bool mayHaveRun = true;       ///< false only if no byte of the request left, or no connection was made
-    bool isReused = false;        ///< a kept connection: the target may have closed it before the request came
-    bool hasResponseHead = false; ///< the head of an answer was read
+    std::string text;             ///< for logs and error responses
+    bool mayHaveRun = true;       ///< false only if no byte of the request was sent or no connection was established
+    bool isReused = false;        ///< sent on a pooled connection, which the target may have closed before the request arrived
+    bool hasResponseHead = false; ///< the head of a response was read
 };
 
-/// What to send.
+/// A request to send to a target.
 struct TargetRequest {
-    Address address;         ///< target
+    Address address;         ///< address of the target
     std::string bytes;       ///< head and body
-    bool isHead = false;     ///< method HEAD: the answer has no body
-    bool allowsReuse = true; ///< a kept connection may be used
-    std::string idField;     ///< name of the field with the id that the answer must echo
-    std::string id;          ///< expected id; empty: any
+    bool isHead = false;     ///< the method is HEAD, so the response has no body
+    bool allowsReuse = true; ///< a pooled connection may be used
+    std::string idField;     ///< name of the header field in which the response echoes the id
+    std::string id;          ///< id expected in the response; empty: any
 };
 
-/// A request on its way.
+/// One request to one target and the response.
 class TargetExchange : public std::enable_shared_from_this<TargetExchange>
 {
 public:
     struct Handlers {
-        std::function<void(const HttpHead &)> onHead;         ///< once
-        std::function<void(std::string &)> onBody;            ///< body bytes so far; the handler erases what it used
-        std::function<void()> onDone;                         ///< the answer is whole
-        std::function<void(const TargetFailure &)> onFailure; ///< no whole answer will come
+        std::function<void(const HttpHead &)> onHead;         ///< called once with the head of the response
+        std::function<void(std::string &)> onBody;            ///< received body bytes; the handler erases those that it has consumed
+        std::function<void()> onDone;                         ///< the response is complete
+        std::function<void(const TargetFailure &)> onFailure; ///< there won't be a complete response
     };
     static std::shared_ptr<TargetExchange> start(TargetConnectionPool &connections, TargetRequest request, Handlers handlers);
     ~TargetExchange();
 
-    /// Breaks the connection, so that the target stops work; no handler follows.
+    /// Closes the connection, so that the target stops working on the request. No handler is called afterwards.
     void cancel();
     void pauseReading(bool isPaused);
     const HttpHead &head() const;
--- a/src/relay/target_forwarding.cpp
+++ b/src/relay/target_forwarding.cpp
@@ -28,8 +28,8 @@
     request.address = address;
     request.bytes = serializeRequest(m_context, m_request, target, added);
     request.isHead = m_request.exchange->head().method == "HEAD";
-    // A target may close a kept connection just as a request comes; the reset does not tell whether it ran. Requests that
-    // must not run twice could not be sent again then: each gets a connection that is certainly fresh.
+    // A target may close an idle connection just as a request arrives, and the reset does not show whether the request ran.
+    // A request that must not run twice could not be retried then, so it always gets a new connection.
     request.allowsReuse = canRetryAfterRun();
     request.idField = m_context.dialect.headers().attemptId;
     request.id = m_request.attemptId;
--- a/src/relay/target_forwarding.h
+++ b/src/relay/target_forwarding.h
@@ -1,4 +1,5 @@
-// What forwarding to plain services and to engines share: the caller's leaving, and the request on its way to a target.
+// Base class of forwarding to plain services and to engines: reacts to the caller and runs one exchange with a target at a
+// time.
 #pragma once
 
 #include "relay/forwarded_request.h"
@@ -19,29 +20,30 @@
 protected:
     TargetForwarding(RelayContext &context, ForwardedRequest request);
 
-    /// Follows the caller: a caller that leaves ends the forwarding, one that has taken its bytes gets more.
+    /// Installs the caller's handlers: a disconnect ends the forwarding; once buffered bytes are sent, reading from the target
+    /// resumes.
     void installCallerHandlers();
-    /// Sends the request to a target. `added` are fields that the relay sets for it.
+    /// Sends the request to a target. `added` are header fields that the relay sets in addition.
     void sendTo(const TargetId &target, const Address &address, const std::vector<AddedField> &added);
-    /// Breaks the request on its way, if there is one.
+    /// Cancels the exchange with a target, if there is one.
     void cancelExchange();
-    /// Nothing follows any more.
+    /// Ends the attempt and the forwarding.
     void end();
 
-    /// Whether the request may be sent again though it may have run.
+    /// Whether the request may be retried even if it may have run.
     virtual bool canRetryAfterRun() const = 0;
     virtual void handleHead(const HttpHead &head) = 0;
     virtual void handleBody(std::string &body) = 0;
     virtual void handleEnd() = 0;
     virtual void handleFailure(const TargetFailure &failure) = 0;
-    /// Gives back what the attempt holds.
+    /// Releases the resources of the current attempt.
     virtual void endAttempt() = 0;
 
     RelayContext &m_context;
     ForwardedRequest m_request;
-    TargetExchangePtr m_exchange; ///< request on its way; null between attempts
-    int m_attempts = 0;           ///< attempts that a target may have begun
-    bool m_mayHaveRun = false;    ///< in an attempt before
+    TargetExchangePtr m_exchange; ///< exchange with the current target; null between attempts
+    int m_attempts = 0;           ///< number of attempts that a target may have started
+    bool m_mayHaveRun = false;    ///< the request may have run in an earlier attempt
     bool m_isOver = false;
 };
 
--- a/tests/fuzz_http_message.cpp
+++ b/tests/fuzz_http_message.cpp
@@ -1,4 +1,5 @@
-// libFuzzer: the relay's reader of heads, bodies and events. A body must come out the same however its bytes arrive.
+// libFuzzer target for the relay's parser of heads, bodies and events. Decoding a body in one piece and byte by byte must give
+// the same result.
 #include "relay/http_message.h"
 
 #include <cstddef>
--- a/tests/http_message_test.cpp
+++ b/tests/http_message_test.cpp
@@ -1,4 +1,4 @@
-// The relay's reader of HTTP: what it takes, what it refuses, and that it does not matter how the bytes arrive.
+// The relay's HTTP parser: accepted and rejected messages, and that the result does not depend on how the bytes are split.
 #include "relay/http_message.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Reads a body that arrives in pieces of `step` bytes.
+/// Decodes a body that arrives in pieces of `step` bytes.
 std::string readInPieces(BodyReader &reader, const std::string &bytes, std::size_t step)
 {
     std::string pending;
@@ -22,7 +22,7 @@
     return body;
 }
 
-/// A head that two programs could read differently.
+/// A head that two programs could interpret differently.
 struct BadHead {
     const char *name;
     const char *text;
@@ -45,7 +45,7 @@
     {"empty field name", "GET / HTTP/1.1\r\n: b\r\n\r\n"},
 };
 
-/// Framing of a request's body that is ambiguous.
+/// Heads with ambiguous framing of the request body.
 const BadHead badFramings[] = {
     {"length and chunked", "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"},
     {"two lengths", "POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n"},
--- a/tests/relay_calls_test.cpp
+++ b/tests/relay_calls_test.cpp
@@ -1,5 +1,5 @@
-// The relay before plain services: what a caller gets when targets fail, cut, spoil or double their answers, and what a
-// target never sees.
+// The relay in front of plain services: what callers get when targets fail or send truncated, invalid or duplicate responses,
+// and which requests and header fields must not reach a target.
 #include "tests/relay_system.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -22,7 +22,7 @@
     return {sealedAnswer(request, "fine")};
 }
 
-/// Bytes that a caller sends, and the status of the answer.
+/// Bytes that a caller sends, and the expected status of the response.
 struct BadInput {
     const char *name;
     std::string bytes;
@@ -54,7 +54,7 @@
     {"no key", "GET /read/x HTTP/1.1\r\nHost: host.example\r\n\r\n", 401},
 };
 
-/// An answer of a target that must not reach a caller as a success.
+/// A target's response that must not reach a caller as a success.
 struct BadAnswer {
     const char *name;
     RawReply (*reply)(const RawRequest &);
@@ -171,8 +171,8 @@
 
 BOOST_DATA_TEST_CASE(aRepeatableRequestIsServedByAnotherTarget, boost::unit_test::data::make(badAnswers), bad)
 {
-    // The first target that is asked spoils its answer; the request may run again, so that the caller gets the other
-    // target's whole answer and no byte of the first.
+    // The first target that gets the request sends an invalid response. The request may run twice, so the caller must get the
+    // complete response of the other target and no byte of the first.
     RelaySystem system;
     int received = 0;
     const auto handler = [&](const RawRequest &request) {
@@ -192,8 +192,8 @@
 
 BOOST_DATA_TEST_CASE(aRequestThatMayNotRepeatIsNeverSentTwice, boost::unit_test::data::make(badAnswers), bad)
 {
-    // The target has the request and spoils its answer: it may have run. The caller must not be told that it did not, and
-    // no other target may get it.
+    // The target sends an invalid response to a request that it may have run. The caller must not get a status that guarantees
+    // that it did not run, and no other target may get the request.
     RelaySystem system;
     int received = 0;
     const auto handler = [&](const RawRequest &request) {
@@ -231,8 +231,8 @@
 
 BOOST_AUTO_TEST_CASE(a503WithoutAPromiseIsNotPassedOnAsOne)
 {
-    // A target answers 503 and does not say that it did not run the request. To callers a 503 is a promise: a booking
-    // answered so would be made again.
+    // A target responds with 503 without stating that it did not run the request. Callers treat a 503 as a guarantee that the
+    // request did not run: they would send a booking again.
     RelaySystem system;
     system.addTarget("t1", [](const RawRequest &request) {
         return RawReply{sealedAnswer(request, "", "HTTP/1.1 503 Broken")};
@@ -263,8 +263,8 @@
 
 BOOST_AUTO_TEST_CASE(aSecondAnswerIsNotTakenForTheNext)
 {
-    // A target answers one request twice. The second answer arrives where the answer to the next request on the connection
-    // is due: without a look at its id, another caller would get it.
+    // A target sends two responses to one request. The second arrives where the response to the next request on the connection
+    // is expected: without a check of its id, another caller would get it.
     RelaySystem system;
     int received = 0;
     system.addTarget("t1", [&](const RawRequest &request) {
@@ -308,8 +308,8 @@
 
 BOOST_AUTO_TEST_CASE(keptConnectionsAreUsedOnlyForRepeatableRequests)
 {
-    // A target closes idle connections when it likes. A booking sent on one that was just closed is reset, and nobody knows
-    // whether it ran: it gets a connection of its own.
+    // A target may close an idle connection at any time. A booking sent on a connection that was just closed is reset, and
+    // whether it ran is unknown. Requests that may not be repeated therefore always get a new connection.
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
@@ -328,7 +328,7 @@
 {
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        // The second request of a connection is met by a reset, as by a target that had closed it.
+        // The second request on a connection is reset, as if the target had closed the idle connection.
         return request.field("X-Attempt-Id") == "id-2" && request.connection == 1 ? RawReply{"", false, true} : answerSuccessfully(request);
     });
     system.waitReady();
@@ -344,8 +344,8 @@
 
 BOOST_AUTO_TEST_CASE(anAnswerBeforeTheBodyWasReadEndsItsConnection)
 {
-    // A target answers a request of 40 KB before it has read it and reads on later. Another request sent on that connection
-    // would be taken for the rest of the body.
+    // A target responds to a request of 40 KB before it has read the body, and reads the body later. It would read another
+    // request on that connection as a part of the body.
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
@@ -404,8 +404,8 @@
 
 BOOST_AUTO_TEST_CASE(aRelayThatWasPausedKeepsItsPeers)
 {
-    // A relay is frozen for longer than its peers may be silent, and goes on before it has read what they sent meanwhile.
-    // It still counts them: their streams at the engines, and that one of them may be giving orders.
+    // A relay is paused for longer than the timeout of its peers, and resumes before it has read what they sent meanwhile. It
+    // must not treat them as lost: their streams at the engines still count, and one of them may be giving orders.
     RelaySystemOptions options;
     options.relays = 2;
     RelaySystem system(options);
@@ -488,7 +488,8 @@
 
 BOOST_AUTO_TEST_CASE(withoutTheStoreARelayIsNotReadyAndPromisesNothingItMayNotKeep)
 {
-    // The store is away when a relay starts: it knows no configuration and can't say that a path or a key is unknown.
+    // The store is unreachable when a relay starts. Without a configuration the relay can't tell whether a path or a key is
+    // unknown, so it must respond with 503 and Retry-After.
     RelaySystemOptions options;
     options.relays = 0;
     RelaySystem system(options);
@@ -504,7 +505,7 @@
     BOOST_TEST(!call->field("Retry-After").empty());
 }
 
-/// Guards against callers of a process that died who come back to the new one, are refused at once and lost.
+/// Guards against losing callers that reconnect to a restarted process and are refused because it has no configuration yet.
 BOOST_AUTO_TEST_CASE(aRequestThatComesWithTheStartIsServedOnceTheConfigurationIsKnown)
 {
     RelaySystem system;
@@ -539,7 +540,8 @@
     BOOST_TEST(unknown->status() == 503);
 }
 
-/// Guards against work for a target that left after the store's return, of which a quiet store's watch tells up to two seconds late.
+/// Guards against sending requests to a target that was removed after the store recovered. The watch of a store without other
+/// changes reports the removal up to two seconds late.
 BOOST_AUTO_TEST_CASE(aTargetThatLeavesSomeTimeAfterTheStoresReturnGetsNothingMore)
 {
     RelaySystemOptions options;
@@ -550,7 +552,7 @@
     system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.waitState("\"t1\"");
-    // The watch under way ends by a change; the calls after it fail.
+    // A change ends the watch call that is open; the calls after it fail.
     system.list("t2", "shop", {"127.0.0.1", 9});
     system.waitState("\"t2\"");
     system.store().faults().isDown = true;
@@ -566,8 +568,8 @@
 
 BOOST_AUTO_TEST_CASE(aRelayThatTheStoreTurnsAwayLearnsFromItsPeers)
 {
-    // The store answers one relay and not the other. A key is revoked meanwhile: the relay that is turned away must learn
-    // it from its peer, as it could not refuse the key otherwise.
+    // The store serves one relay and refuses the other with 503. When a key is revoked meanwhile, the refused relay must get
+    // the new configuration from its peer, otherwise it would continue to accept the key.
     RelaySystemOptions options;
     options.relays = 2;
     StandIn::RawTarget *gate = nullptr;
@@ -601,8 +603,8 @@
 
 BOOST_AUTO_TEST_CASE(aPlainTargetThatAPeerAvoidsIsNotAskedForAReport)
 {
-    // One relay avoids a target after a reset and tells its peer. Plain services know no report: asked for one they answer
-    // 400, which was taken for a failure, so that a single reset had all relays avoid a sound target again and again.
+    // A relay avoids a target after a reset and reports that to its peer. Plain services have no report: they respond to a query
+    // for one with 400. Treating that as a failure made all relays avoid a healthy target repeatedly after a single reset.
     RelaySystemOptions options;
     options.relays = 2;
     RelaySystem system(options);
--- a/tests/relay_streams_test.cpp
+++ b/tests/relay_streams_test.cpp
@@ -1,4 +1,4 @@
-// The relay before engines that hold layer ranges: placement, streams, and what a caller sees when engines fail.
+// The relay in front of engines that hold layer ranges: placement, streams, and what callers get when engines fail.
 #include "tests/relay_system.h"
 
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,7 @@
     return ids;
 }
 
-/// Engine whose range begins at the first layer, or does not.
+/// Returns an engine that holds layers and whose range begins at the first layer, or does not if `holdsFirst` is false.
 std::string findEngine(RelaySystem &system, int engines, bool holdsFirst)
 {
     for (int i = 0; i < engines; ++i) {
@@ -81,9 +81,9 @@
 
 BOOST_AUTO_TEST_CASE(aStreamCutInTheMiddleOfAnEventGoesOnInTheSameAnswer)
 {
-    // The first engine breaks the connection within an event. The caller must see each event once, whole, in order, in one
-    // answer with the first engine's seal: the part of an event that came is dropped, and another run begins after the
-    // last whole one.
+    // The first engine closes the connection within an event. The caller must get each event once, complete and in order, in one
+    // response with the first engine's seal: the incomplete event is dropped, and another run resumes after the last complete
+    // one.
     RelaySystem system(withEngines(6));
     system.waitReady();
     system.waitPlaced();
@@ -103,8 +103,8 @@
 
 BOOST_AUTO_TEST_CASE(anUnresponsiveEngineInTheChainIsReplacedWithinTheSameRun)
 {
-    // An engine in the middle of the chain goes silent: its stream gets no events, no connection breaks. The relay asks the
-    // chain's engines, finds the one that does not answer, and has the first engine go on through the others.
+    // An engine behind the first one stops responding: its streams get no events, but no connection is closed. The relay queries
+    // the engines of the chain, finds the unresponsive one, and has the first engine continue through the others.
     RelaySystemOptions options = withEngines(0);
     options.engines = 4;
     RelaySystem system(options);
@@ -143,8 +143,8 @@
 
 BOOST_AUTO_TEST_CASE(aStalledStreamIsNotCutWhenItMayNotBeginAnew)
 {
-    // An engine pauses for two seconds, and the retry budget is spent: the stream can't begin anew elsewhere. Cut by the
-    // relay it would be lost; left alone it goes on when the engine does.
+    // An engine pauses for two seconds while the retry budget is used up, so that the stream can't be restarted elsewhere. If the
+    // relay aborted the stream it would be lost; otherwise it continues when the engine resumes.
     RelaySystemOptions options = withEngines(2);
     options.engineOptions.stallTimeout = milliseconds(20000);
     options.tune = [](RelaySettings &settings) {
@@ -171,9 +171,9 @@
 
 BOOST_AUTO_TEST_CASE(aStreamThatMayNotBeginAnewIsMovedWhenItsLayersAreHeldAgain)
 {
-    // An engine in the middle of the chain dies, nobody else holds its layers, and the retry budget is spent. A second later
-    // another engine holds them. Looked for only when a question failed again, the way around was found up to three seconds
-    // late: the caller got no event and left.
+    // An engine behind the first one fails, no other engine holds its layers, and the retry budget is used up. A second later
+    // another engine holds them. If the relay searched for another chain only after another failed query, it would find it up
+    // to three seconds late: the caller would get no event and disconnect.
     RelaySystemOptions options = withEngines(0);
     options.engines = 3;
     options.engineOptions.stallTimeout = milliseconds(20000);
@@ -191,7 +191,7 @@
     }
     system.waitReady();
     system.waitPlaced();
-    // Another entry holds the duty, so that this test alone says when the layers are held again.
+    // Another entry holds the placement lease, so that only this test determines when the layers are held again.
     system.store().put("leases", "placement", "elsewhere 9999999999999");
     system.waitState("\"holdsPlacementLease\": false");
     const RawCallPtr call = system.stream("s-1");
@@ -212,8 +212,8 @@
 
 BOOST_AUTO_TEST_CASE(aLostAnswerDoesNotExcludeTheEngine)
 {
-    // The connection of one stream is reset at the first engine of the only chain, which works. Avoided for it, the engine
-    // took the chain along: all callers were refused for the next 400 ms. It answers a question, and that settles it.
+    // The connection of one stream is reset at the first engine of the only chain. Avoiding this working engine made the chain
+    // unusable: all callers were refused for the next 400 ms. Once the engine responds to a query it must be usable again.
     RelaySystem system(withEngines(2));
     system.waitReady();
     system.waitPlaced();
@@ -232,8 +232,8 @@
 
 BOOST_AUTO_TEST_CASE(anEngineThatLeavesWhileTheStoreIsDownIsReplaced)
 {
-    // The store goes down, then an engine drains: the list does not say so, and nobody can renew the lease. The engine
-    // refuses its part of each new stream; the last holder of the lease has its layers loaded elsewhere all the same.
+    // The store goes down, then an engine drains: the registry does not show it, and no relay can renew the lease. The engine
+    // refuses its stage of each new stream. The last holder of the lease must still have its layers loaded elsewhere.
     RelaySystem system(withEngines(4));
     system.waitReady();
     system.waitPlaced();
@@ -259,8 +259,8 @@
 
 BOOST_AUTO_TEST_CASE(theLayersOfALostEngineAreLoadedElsewhere)
 {
-    // An engine that alone holds its layers is gone. New streams are refused as not run, with a time to come back; within
-    // that time the others hold its layers.
+    // The only engine that holds certain layers is lost. New streams are refused as not run, with a Retry-After time.
+    // Within that time the other engines should hold the lost layers.
     RelaySystem system(withEngines(4));
     system.waitReady();
     system.waitPlaced();
@@ -293,8 +293,8 @@
 
 BOOST_AUTO_TEST_CASE(ordersWhoseAnswersAreLostAreNotCarriedOutTwice)
 {
-    // Engines accept orders and their answers are lost. The same order is sent again with the number of orders that the
-    // engine was known to have accepted: the engine refuses it, and the plan goes on from what it reports.
+    // Engines accept orders, but their responses are lost. The same order is sent again with the last known number of orders
+    // that the engine had accepted: the engine refuses it, and placement continues from the state that the engine reports.
     RelaySystemOptions options = withEngines(4);
     RelaySystem system(options);
     system.engines().loseOrders(true);
@@ -308,7 +308,7 @@
 
 BOOST_AUTO_TEST_CASE(theInitialPlacementWaitsForAllEngines)
 {
-    // Engines register one after the other. A plan for the first few would cut the model into pieces too large.
+    // Engines register one after another. A placement on the first few would divide the model into too large layer ranges.
     RelaySystemOptions options = withEngines(2);
     RelaySystem system(options);
     system.waitReady();
@@ -331,8 +331,8 @@
 
 BOOST_AUTO_TEST_CASE(aStoppedHolderOfTheLeaseIsReplaced)
 {
-    // The relay that gives the orders is gone without a word; an engine is lost right after. Another relay takes the lease
-    // when it ends, and has the layers loaded.
+    // The relay that gives the orders stops without releasing the lease, and an engine is lost immediately afterwards. Another
+    // relay must acquire the lease when it expires, and have the layers loaded.
     RelaySystemOptions options = withEngines(4);
     options.relays = 2;
     RelaySystem system(options);
@@ -354,8 +354,8 @@
 
 BOOST_AUTO_TEST_CASE(aStoppingRelayDoesNotTakeTheLeaseAgain)
 {
-    // A relay stops while the store is away, so that it can't give its lease up. When the store is back it must not renew
-    // or take it: it would order nothing, and nobody else could.
+    // A relay drains while the store is unreachable, so that it can't release its lease. When the store is reachable again the
+    // relay must not renew or acquire the lease: it would give no orders, and no other relay could.
     RelaySystemOptions options = withEngines(2);
     RelaySystem system(options);
     system.waitReady();
