--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -1,4 +1,4 @@
-// Forwarding to plain services: one request, one answer.
+// Forwarding to plain services, which send one response to a request.
 #include "relay/target_forwarding.h"
 
 #include <algorithm>
@@ -6,16 +6,17 @@
 namespace Parsleytrail
 {
 
-/// Answers up to this size are held until they are whole, so that a cut one can be replaced by another target's.
-constexpr std::size_t heldAnswerBytes = 128 * 1024;
-/// Reading from a target stops while its caller has this much to take.
-constexpr std::size_t maxWaitingBytes = 256 * 1024;
-/// A request is not sent again with less time than this left: a target needs tens of milliseconds.
-constexpr milliseconds shortestAttempt{30};
-/// When targets that refused for lack of room are expected to have some again: a few times their usual work.
-constexpr milliseconds fullRetryAfter{400};
-/// When a service without a usable target is expected to have one: engines restart within seconds.
-constexpr milliseconds missingRetryAfter{1000};
+/// Responses up to this size are buffered until they are complete, so that a truncated one can be replaced by that of another
+/// target.
+constexpr std::size_t maxBufferedResponseBytes = 128 * 1024;
+/// Reading from a target pauses while more than this is buffered for its caller.
+constexpr std::size_t maxUnsentBytes = 256 * 1024;
+/// A request is not retried with less time than this remaining, as targets need tens of milliseconds.
+constexpr milliseconds minAttemptTime{30};
+/// Estimated time until targets that refused for lack of capacity have some again: a few times the duration of a usual call.
+constexpr milliseconds overloadRetryAfter{400};
+/// Estimated time until a service without a usable target has one again: engines restart within seconds.
+constexpr milliseconds noTargetRetryAfter{1000};
 
 class CallForwarding final : public TargetForwarding
 {
@@ -26,21 +27,21 @@
     }
 
     void begin() override;
-    void checkTime(TimePoint now) override;
-    void noteDeadTarget(const TargetId &) override
+    void checkTimeouts(TimePoint now) override;
+    void handleFailedTarget(const TargetId &) override
     {
-        // A call waits for one target only: its own connection or time-out tells.
+        // A call waits for a single target, whose failure its own connection or timeout detects.
     }
-    void leaveGoingEngines() override
+    void moveOffLeavingEngines() override
     {
-        // A call lasts milliseconds; its target goes on serving for longer.
+        // A call lasts milliseconds; a draining target continues to serve for longer than that.
     }
     const std::vector<ChainStage> &chain() const override
     {
         static const std::vector<ChainStage> none;
         return none;
     }
-    TimePoint progressAt() const override
+    TimePoint lastProgressAt() const override
     {
         return m_request.exchange->receivedAt();
     }
@@ -48,33 +49,33 @@
 private:
     Target *chooseTarget();
     void startAttempt();
-    void takeHead(const HttpHead &head) override;
-    void takeBody(std::string &body) override;
-    void takeEnd() override;
-    void takeFailure(const TargetFailure &failure) override;
+    void handleHead(const HttpHead &head) override;
+    void handleBody(std::string &body) override;
+    void handleEnd() override;
+    void handleFailure(const TargetFailure &failure) override;
     void endAttempt() override;
-    void retryOrEnd(std::string_view reason, bool mayHaveRun, bool isFull);
-    void passOn();
-    bool canRepeat() const override
+    void retryOrEnd(std::string_view reason, bool mayHaveRun, bool isOverloaded);
+    void relayResponse();
+    bool canRetryAfterRun() const override
     {
         return m_request.route->kind == CallKind::Idempotent;
     }
 
     TargetId m_target;
-    std::vector<TargetId> m_failed; ///< targets that are not asked again
-    std::string m_body;             ///< of the answer, held
+    std::vector<TargetId> m_excludedTargets; ///< targets that are not tried again
+    std::string m_bufferedBody;              ///< response body received so far
     TimePoint m_firstByteAt{};
-    bool m_isPassingOn = false; ///< the answer was too large to hold
-    bool m_isCounted = false;   ///< as open at the target
+    bool m_isRelaying = false; ///< the response is too large to buffer and is relayed as it arrives
+    bool m_isCounted = false;  ///< the request is included in the target's openRequests
 };
 
 void CallForwarding::begin()
 {
-    followCaller();
+    installCallerHandlers();
     startAttempt();
 }
 
-/// The target with the least work for its slots; one of this data centre first among equals.
+/// Selects the target with the fewest open requests per slot, preferring usable targets and those of this data centre.
 Target *CallForwarding::chooseTarget()
 {
     const TimePoint now = m_context.clock.now();
@@ -82,13 +83,13 @@
     double bestCost = 0;
     std::uniform_real_distribution<double> jitter(0, 0.05);
     for (auto &[id, target] : m_context.fleet.targets) {
-        const bool isAsked = std::find(m_failed.begin(), m_failed.end(), id) != m_failed.end();
-        if (target.registered.service != m_request.service->name || target.registered.isDraining || isAsked) {
+        const bool isExcluded = std::find(m_excludedTargets.begin(), m_excludedTargets.end(), id) != m_excludedTargets.end();
+        if (target.registered.service != m_request.service->name || target.registered.isDraining || isExcluded) {
             continue;
         }
         const double open = totalOpenRequests(target);
-        constexpr double remoteCost = 0.3;  // less than two more requests on a target of six slots
-        constexpr double avoidedCost = 100; // only if there is no other
+        constexpr double remoteCost = 0.3;  // less than two open requests more on a target with six slots
+        constexpr double avoidedCost = 100; // chosen only if there is no other target
         double cost = open / std::max(target.registered.slots, 1) + jitter(m_context.random);
         cost += target.registered.dataCenter == m_context.settings.dataCenter ? 0 : remoteCost;
         cost += isUsable(target, now) ? 0 : avoidedCost;
@@ -105,16 +106,16 @@
     Target *target = chooseTarget();
     if (!target) {
         if (m_mayHaveRun) {
-            failRequest(m_context, m_request, "no other target", m_target.value, m_sent);
+            failRequest(m_context, m_request, "no other target", m_target.value, m_attempts);
         } else {
-            refuseRequest(m_context, m_request, {"no target of the service", missingRetryAfter}, m_sent);
+            refuseRequest(m_context, m_request, {"no target of the service", noTargetRetryAfter}, m_attempts);
         }
         return end();
     }
     m_target = target->registered.id;
     ++target->openRequests;
     m_isCounted = true;
-    m_body.clear();
+    m_bufferedBody.clear();
     sendTo(m_target, target->registered.address, {});
 }
 
@@ -127,131 +128,131 @@
     cancelExchange();
 }
 
-void CallForwarding::takeHead(const HttpHead &)
+void CallForwarding::handleHead(const HttpHead &)
 {
     m_firstByteAt = m_context.clock.now();
 }
 
-void CallForwarding::takeBody(std::string &body)
+void CallForwarding::handleBody(std::string &body)
 {
     const HttpHead &head = m_exchange->head();
-    const bool isRelayed = head.status < 300 && isGenuine(m_context.adapter.headers(), head, m_request.attemptId);
-    const bool isHeld = m_request.route->kind != CallKind::Stream && m_body.size() + body.size() <= heldAnswerBytes;
-    if (!m_isPassingOn && (isHeld || !isRelayed)) {
-        if (m_body.size() < heldAnswerBytes) {
-            m_body += body;
+    const bool isRelayed = head.status < 300 && isAuthenticResponse(m_context.adapter.headers(), head, m_request.attemptId);
+    const bool isBuffered = m_request.route->kind != CallKind::Stream && m_bufferedBody.size() + body.size() <= maxBufferedResponseBytes;
+    if (!m_isRelaying && (isBuffered || !isRelayed)) {
+        if (m_bufferedBody.size() < maxBufferedResponseBytes) {
+            m_bufferedBody += body;
         }
         body.clear();
         return;
     }
-    if (!m_isPassingOn) {
-        m_isPassingOn = true;
+    if (!m_isRelaying) {
+        m_isRelaying = true;
         m_request.exchange->begin(head, nullptr);
-        m_request.exchange->send(m_body);
+        m_request.exchange->send(m_bufferedBody);
     }
     m_request.exchange->send(body);
     body.clear();
-    if (m_request.exchange->waiting() > maxWaitingBytes && m_exchange) {
+    if (m_request.exchange->unsentBytes() > maxUnsentBytes && m_exchange) {
         m_exchange->pauseReading(true);
     }
 }
 
-void CallForwarding::takeEnd()
+void CallForwarding::handleEnd()
 {
     const HeaderNames &names = m_context.adapter.headers();
     const HttpHead &head = m_exchange->head();
-    if (m_isPassingOn) {
-        return passOn();
+    if (m_isRelaying) {
+        return relayResponse();
     }
-    if (saysNotExecuted(names, head)) {
-        ++m_sent;
+    if (reportsNotExecuted(names, head)) {
+        ++m_attempts;
         return retryOrEnd("not executed", false, head.status == 503 || head.status == 429);
     }
-    const bool isGood = head.status < 500 && isGenuine(names, head, m_request.attemptId);
-    if (isGood && !promisesNotRun(head.status)) {
+    const bool isAuthenticResult = head.status < 500 && isAuthenticResponse(names, head, m_request.attemptId);
+    if (isAuthenticResult && !guaranteesNotRun(head.status)) {
         if (Target *target = findTarget(m_context.fleet, m_target)) {
             recordSuccess(*target);
         }
-        return passOn();
+        return relayResponse();
     }
-    ++m_sent;
-    const bool canTryAgain = canRepeat() && m_sent < m_request.route->maxAttempts && m_context.clock.now() + shortestAttempt < m_request.deadline;
-    const bool isOwnFailure = head.status >= 500 && !promisesNotRun(head.status) && isGenuine(names, head, m_request.attemptId);
-    if (isOwnFailure && !canTryAgain) {
-        --m_sent;
-        return passOn();
+    ++m_attempts;
+    const bool canRetry = canRetryAfterRun() && m_attempts < m_request.route->maxAttempts && m_context.clock.now() + minAttemptTime < m_request.deadline;
+    const bool isAuthenticFailure = head.status >= 500 && !guaranteesNotRun(head.status) && isAuthenticResponse(names, head, m_request.attemptId);
+    if (isAuthenticFailure && !canRetry) {
+        --m_attempts;
+        return relayResponse();
     }
-    retryOrEnd(isOwnFailure ? "target failed" : "answer is not the target's own", true, false);
+    retryOrEnd(isAuthenticFailure ? "target failed" : "answer is not the target's own", true, false);
 }
 
-/// Gives the caller the target's answer, unchanged.
-void CallForwarding::passOn()
+/// Completes the caller's response with the unchanged response of the target.
+void CallForwarding::relayResponse()
 {
     const TargetExchangePtr exchange = m_exchange;
-    ++m_sent;
-    if (!m_isPassingOn) {
-        const std::uint64_t length = m_body.size();
+    ++m_attempts;
+    if (!m_isRelaying) {
+        const std::uint64_t length = m_bufferedBody.size();
         m_request.exchange->begin(exchange->head(), &length);
-        m_request.exchange->send(m_body);
+        m_request.exchange->send(m_bufferedBody);
     }
     m_request.exchange->complete();
-    noteServed(m_context, m_request, {exchange->head().status, m_target.value, m_sent, m_firstByteAt, {}});
+    recordServed(m_context, m_request, {exchange->head().status, m_target.value, m_attempts, m_firstByteAt, {}});
     end();
 }
 
-void CallForwarding::takeFailure(const TargetFailure &failure)
+void CallForwarding::handleFailure(const TargetFailure &failure)
 {
     if (failure.mayHaveRun) {
-        ++m_sent;
+        ++m_attempts;
     }
-    if (m_isPassingOn) {
-        failRequest(m_context, m_request, failure.text, m_target.value, m_sent);
+    if (m_isRelaying) {
+        failRequest(m_context, m_request, failure.text, m_target.value, m_attempts);
         return end();
     }
-    if (failure.wasKept && failure.mayHaveRun && !failure.hasAnswered) {
-        // The connection was stale: that says nothing of the target.
-        --m_sent;
+    if (failure.isReused && failure.mayHaveRun && !failure.hasResponseHead) {
+        // The target had closed the idle connection, which is no sign of a failure of the target.
+        --m_attempts;
         endAttempt();
         if (tryRetry(m_context, m_request.service->name)) {
-            noteRetry(m_context, m_request, "kept connection was stale", m_target.value, m_sent);
+            recordRetry(m_context, m_request, "kept connection was stale", m_target.value, m_attempts);
             return startAttempt();
         }
         m_mayHaveRun = true;
-        failRequest(m_context, m_request, "retry budget spent", m_target.value, m_sent);
+        failRequest(m_context, m_request, "retry budget spent", m_target.value, m_attempts);
         return end();
     }
     avoidTarget(m_context, m_target, failure.text);
     retryOrEnd(failure.text, failure.mayHaveRun, false);
 }
 
-/// After an attempt without an answer for the caller.
-void CallForwarding::retryOrEnd(std::string_view reason, bool mayHaveRun, bool isFull)
+/// Called after an attempt that brought no response for the caller: retries or ends the request.
+void CallForwarding::retryOrEnd(std::string_view reason, bool mayHaveRun, bool isOverloaded)
 {
     m_mayHaveRun = m_mayHaveRun || mayHaveRun;
-    m_failed.push_back(m_target);
+    m_excludedTargets.push_back(m_target);
     endAttempt();
-    const bool isAllowed = !m_mayHaveRun || canRepeat();
-    const bool hasTime = m_context.clock.now() + shortestAttempt < m_request.deadline;
-    const bool hasAttempts = m_sent < m_request.route->maxAttempts;
+    const bool isAllowed = !m_mayHaveRun || canRetryAfterRun();
+    const bool hasTime = m_context.clock.now() + minAttemptTime < m_request.deadline;
+    const bool hasAttempts = m_attempts < m_request.route->maxAttempts;
     if (isAllowed && hasTime && hasAttempts && tryRetry(m_context, m_request.service->name)) {
-        noteRetry(m_context, m_request, reason, m_target.value, m_sent);
+        recordRetry(m_context, m_request, reason, m_target.value, m_attempts);
         return startAttempt();
     }
     if (m_mayHaveRun) {
-        failRequest(m_context, m_request, reason, m_target.value, m_sent);
+        failRequest(m_context, m_request, reason, m_target.value, m_attempts);
     } else {
-        refuseRequest(m_context, m_request, {reason, isFull ? fullRetryAfter : missingRetryAfter}, m_sent);
+        refuseRequest(m_context, m_request, {reason, isOverloaded ? overloadRetryAfter : noTargetRetryAfter}, m_attempts);
     }
     end();
 }
 
-void CallForwarding::checkTime(TimePoint now)
+void CallForwarding::checkTimeouts(TimePoint now)
 {
     if (m_isOver || now < m_request.deadline) {
         return;
     }
-    // What was sent may still run: its connection is closed, but only the target knows.
-    failRequest(m_context, m_request, "time is up", m_target.value, m_sent);
+    // The request may still run: closing the connection does not show whether the target stops.
+    failRequest(m_context, m_request, "time is up", m_target.value, m_attempts);
     end();
 }
 
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -12,10 +12,11 @@
 
 // [SECTION] Session
 
-/// How often time-outs of sessions are looked at; they are seconds long.
-constexpr milliseconds sessionTick{250};
-/// Bodies are taken up to this size before memory is reserved for their announced length.
-constexpr std::size_t eagerBodyBytes = 64 * 1024;
+/// Interval of checking sessions for timeouts, which are several seconds long.
+constexpr milliseconds sessionCheckInterval{250};
+/// Upper bound of the memory reserved for a body because of its announced length, before its bytes arrive. Reading pauses at
+/// four times as many unprocessed bytes.
+constexpr std::size_t initialBodyReserveBytes = 64 * 1024;
 
 struct CallerSession;
 
@@ -25,7 +26,7 @@
     Handler handler;
     SessionLimits limits{};
     std::set<std::shared_ptr<CallerSession>> sessions{};
-    std::set<ConnectionPtr> closing{}; ///< answered, sending the rest
+    std::set<ConnectionPtr> closing{}; ///< answered; the remaining bytes are being sent
     std::unique_ptr<Timer> tick{};
     std::size_t openExchanges = 0;
     bool isDraining = false;
@@ -36,36 +37,36 @@
     HttpHead head;
     std::string body;
     TimePoint receivedAt{};
-    std::function<void()> onGone;
+    std::function<void()> onDisconnected;
     std::function<void()> onDrained;
     bool isBegun = false;
     bool isOver = false;
     bool isChunked = false;
-    bool closes = false; ///< the connection ends with this answer
+    bool closes = false; ///< the connection is closed after this response
 
-    std::shared_ptr<CallerSession> takeSession();
+    std::shared_ptr<CallerSession> detachSession();
 };
 
-/// One connection.
+/// A caller's connection.
 struct CallerSession : std::enable_shared_from_this<CallerSession> {
     CallerSessions::Private *owner = nullptr;
     ConnectionPtr connection;
     CallerExchangePtr exchange; ///< being read or answered
     BodyReader bodyReader;
     bool isReadingBody = false;
-    bool isAnswering = false; ///< the exchange was handed on
-    TimePoint waitingSince{}; ///< of the first byte of a head, the last part of a body, or the end of an answer
-    bool hasPartOfHead = false;
+    bool isAnswering = false; ///< the request was passed to the handler or rejected
+    TimePoint waitingSince{}; ///< first byte of a head, last part of a body, or end of a response
+    bool hasPartialHead = false;
 
     void start();
-    void takeInput();
-    void takeHead();
-    void takeBody();
+    void handleInput();
+    void handleHead();
+    void handleBody();
     void refuse(int status, std::string_view text);
-    void handOn();
+    void dispatchRequest();
     void finishExchange();
     void end();
-    void checkTime(TimePoint now);
+    void checkTimeouts(TimePoint now);
 };
 
 void CallerSession::start()
@@ -73,7 +74,7 @@
     waitingSince = owner->clock.now();
     Connection::Handlers handlers;
     handlers.onInput = [self = shared_from_this()] {
-        self->takeInput();
+        self->handleInput();
     };
     handlers.onEnd = [self = shared_from_this()](ConnectionEnd) {
         self->end();
@@ -87,26 +88,26 @@
     connection->setHandlers(std::move(handlers));
 }
 
-void CallerSession::takeInput()
+void CallerSession::handleInput()
 {
     while (connection->isOpen() && !isAnswering && !connection->input().empty()) {
         const std::size_t before = connection->input().size();
         if (isReadingBody) {
-            takeBody();
+            handleBody();
         } else {
-            takeHead();
+            handleHead();
         }
         if (connection->input().size() == before) {
             break;
         }
     }
-    connection->pauseReading(connection->input().size() > eagerBodyBytes * 4);
+    connection->pauseReading(connection->input().size() > initialBodyReserveBytes * 4);
 }
 
-void CallerSession::takeHead()
+void CallerSession::handleHead()
 {
-    if (!hasPartOfHead) {
-        hasPartOfHead = true;
+    if (!hasPartialHead) {
+        hasPartialHead = true;
         waitingSince = owner->clock.now();
     }
     if (!exchange) {
@@ -125,20 +126,20 @@
     case ParseResult::Complete:
         break;
     }
-    hasPartOfHead = false;
+    hasPartialHead = false;
     const BodyPlan plan = planRequestBody(head);
     if (plan.isAmbiguous) {
         return refuse(400, "ambiguous length of the body");
     }
-    if (plan.reader.framing == BodyFraming::Length && plan.reader.left > owner->limits.maxBodyBytes) {
+    if (plan.reader.framing == BodyFraming::Length && plan.reader.remaining > owner->limits.maxBodyBytes) {
         return refuse(413, "body too large");
     }
     connection->input().erase(0, head.text.size());
     bodyReader = plan.reader;
     if (bodyReader.isComplete) {
-        return handOn();
+        return dispatchRequest();
     }
-    exchange->d->body.reserve(std::min<std::uint64_t>(bodyReader.left, eagerBodyBytes));
+    exchange->d->body.reserve(std::min<std::uint64_t>(bodyReader.remaining, initialBodyReserveBytes));
     isReadingBody = true;
     waitingSince = owner->clock.now();
     if (head.listHas("Expect", "100-continue")) {
@@ -146,7 +147,7 @@
     }
 }
 
-void CallerSession::takeBody()
+void CallerSession::handleBody()
 {
     std::string &body = exchange->d->body;
     const std::size_t used = readBody(bodyReader, connection->input(), body);
@@ -160,11 +161,11 @@
     }
     if (bodyReader.isComplete) {
         isReadingBody = false;
-        handOn();
+        dispatchRequest();
     }
 }
 
-/// Answers a request that could not be read, and closes: where its bytes end is not known.
+/// Rejects a request that could not be read and closes the connection, as the end of the request is unknown.
 void CallerSession::refuse(int status, std::string_view text)
 {
     isAnswering = true;
@@ -173,16 +174,16 @@
     exchange->reply(status, {}, text);
 }
 
-void CallerSession::handOn()
+void CallerSession::dispatchRequest()
 {
     isAnswering = true;
     ++owner->openExchanges;
     exchange->d->closes = !exchange->d->head.keepsConnection();
-    const CallerExchangePtr handed = exchange;
-    owner->handler(handed);
+    const CallerExchangePtr ready = exchange;
+    owner->handler(ready);
 }
 
-/// The answer is whole: the next request may come.
+/// Called when the response is complete: closes the connection or continues with the next request.
 void CallerSession::finishExchange()
 {
     const CallerExchangePtr done = std::move(exchange);
@@ -190,7 +191,7 @@
     --owner->openExchanges;
     isAnswering = false;
     isReadingBody = false;
-    hasPartOfHead = false;
+    hasPartialHead = false;
     waitingSince = owner->clock.now();
     if (done->d->closes || owner->isDraining) {
         owner->closing.insert(connection);
@@ -201,37 +202,37 @@
         return;
     }
     if (!connection->input().empty()) {
-        // From the loop, so that answers to requests sent ahead do not pile up on the stack.
+        // Deferred to the loop, so that a sequence of pipelined requests does not recurse on the stack.
         owner->loop.defer([self = shared_from_this()] {
-            self->takeInput();
+            self->handleInput();
         });
     }
 }
 
-/// The connection is gone.
+/// Called when the connection has ended.
 void CallerSession::end()
 {
     const auto self = shared_from_this();
     connection->close();
     owner->sessions.erase(self);
-    const CallerExchangePtr cut = std::move(exchange);
+    const CallerExchangePtr aborted = std::move(exchange);
     exchange.reset();
-    if (!cut || !isAnswering) {
+    if (!aborted || !isAnswering) {
         return;
     }
     --owner->openExchanges;
-    cut->d->isOver = true;
-    if (const auto onGone = std::move(cut->d->onGone)) {
-        onGone();
+    aborted->d->isOver = true;
+    if (const auto onDisconnected = std::move(aborted->d->onDisconnected)) {
+        onDisconnected();
     }
 }
 
-void CallerSession::checkTime(TimePoint now)
+void CallerSession::checkTimeouts(TimePoint now)
 {
     if (isAnswering) {
         return;
     }
-    const bool isWaitingForRequest = !hasPartOfHead && !isReadingBody;
+    const bool isWaitingForRequest = !hasPartialHead && !isReadingBody;
     const milliseconds limit = isWaitingForRequest ? owner->limits.idleTimeout : owner->limits.headerTimeout;
     if (now - waitingSince < limit) {
         return;
@@ -246,14 +247,14 @@
 
 // [SECTION] CallerExchange
 
-/// Ends the exchange's use of its session; null if it was over already. No handler follows.
-std::shared_ptr<CallerSession> CallerExchange::Private::takeSession()
+/// Marks the exchange as over and returns its session, or null if it was over already. No handler is called afterwards.
+std::shared_ptr<CallerSession> CallerExchange::Private::detachSession()
 {
     if (isOver) {
         return nullptr;
     }
     isOver = true;
-    onGone = nullptr;
+    onDisconnected = nullptr;
     onDrained = nullptr;
     return session.lock();
 }
@@ -280,9 +281,9 @@
     return d->receivedAt;
 }
 
-void CallerExchange::onGone(std::function<void()> handler)
+void CallerExchange::onDisconnected(std::function<void()> handler)
 {
-    d->onGone = std::move(handler);
+    d->onDisconnected = std::move(handler);
 }
 
 void CallerExchange::onDrained(std::function<void()> handler)
@@ -290,7 +291,7 @@
     d->onDrained = std::move(handler);
 }
 
-void CallerExchange::reply(int status, std::initializer_list<AnswerField> fields, std::string_view body)
+void CallerExchange::reply(int status, std::initializer_list<ResponseField> fields, std::string_view body)
 {
     const auto session = d->session.lock();
     if (d->isOver || d->isBegun || !session) {
@@ -298,7 +299,7 @@
     }
     d->isBegun = true;
     std::string text = absl::StrCat("HTTP/1.1 ", status, " ", reasonPhrase(status), "\r\n");
-    for (const AnswerField &field : fields) {
+    for (const ResponseField &field : fields) {
         text.append(field.name);
         absl::StrAppend(&text, ": ", field.value, "\r\n");
     }
@@ -316,24 +317,24 @@
     complete();
 }
 
-void CallerExchange::begin(const HttpHead &answer, const std::uint64_t *length)
+void CallerExchange::begin(const HttpHead &response, const std::uint64_t *length)
 {
     const auto session = d->session.lock();
     if (d->isOver || d->isBegun || !session) {
         return;
     }
     d->isBegun = true;
-    std::string text(answer.statusLine);
+    std::string text(response.statusLine);
     text += "\r\n";
-    for (const HeadField &field : answer.fields) {
-        if (!isConnectionField(answer, field.name)) {
+    for (const HeadField &field : response.fields) {
+        if (!isConnectionField(response, field.name)) {
             text.append(field.name);
             text += ": ";
             text.append(field.value);
             text += "\r\n";
         }
     }
-    const bool hasBody = answer.status != 204 && answer.status != 304;
+    const bool hasBody = response.status != 204 && response.status != 304;
     d->isChunked = hasBody && !length && d->head.isHttp11;
     if (hasBody && length) {
         absl::StrAppend(&text, "Content-Length: ", *length, "\r\n");
@@ -359,7 +360,7 @@
         session->connection->write(bytes);
         return;
     }
-    static std::string chunk; // one loop on one thread: reused, so that events allocate nothing
+    static std::string chunk; // there is one loop on one thread; reused, so that sending an event allocates no memory
     chunk.clear();
     appendChunk(chunk, bytes);
     session->connection->write(chunk);
@@ -367,7 +368,7 @@
 
 void CallerExchange::complete()
 {
-    const auto session = d->takeSession();
+    const auto session = d->detachSession();
     if (!session) {
         return;
     }
@@ -377,16 +378,17 @@
     session->finishExchange();
 }
 
-void CallerExchange::cut()
+void CallerExchange::abort()
 {
-    const auto session = d->takeSession();
+    const auto session = d->detachSession();
     if (!session) {
         return;
     }
     --session->owner->openExchanges;
     session->isAnswering = false;
     session->exchange.reset();
-    // An HTTP/1.0 caller takes an orderly close for the end of the answer; a reset it can't.
+    // A chunked response without its last chunk is recognisably incomplete. Without chunks an orderly close may mark the end
+    // of the response, as it does for HTTP/1.0 callers; a reset does not.
     if (d->isChunked || !d->isBegun) {
         session->connection->close();
     } else {
@@ -405,10 +407,10 @@
     return d->isBegun;
 }
 
-std::size_t CallerExchange::waiting() const
+std::size_t CallerExchange::unsentBytes() const
 {
     const auto session = d->session.lock();
-    return session ? session->connection->waiting() : 0;
+    return session ? session->connection->unsentBytes() : 0;
 }
 
 // [SECTION] CallerSessions
@@ -420,10 +422,10 @@
         const auto sessions = d->sessions;
         const TimePoint now = d->clock.now();
         for (const auto &session : sessions) {
-            session->checkTime(now);
+            session->checkTimeouts(now);
         }
     });
-    d->tick->startRepeating(sessionTick);
+    d->tick->startRepeating(sessionCheckInterval);
 }
 
 CallerSessions::~CallerSessions()
@@ -459,7 +461,7 @@
 {
     const auto sessions = d->sessions;
     for (const auto &session : sessions) {
-        if (!session->isAnswering && !session->hasPartOfHead && !session->isReadingBody) {
+        if (!session->isAnswering && !session->hasPartialHead && !session->isReadingBody) {
             session->connection->close();
             d->sessions.erase(session);
         }
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -40,7 +40,7 @@
     const Clock &clock;
     const PlatformAdapter &adapter;
     const RelaySettings &settings;
-    TargetConnections connections;
+    TargetConnectionPool connections;
     Fleet fleet{};
     std::shared_ptr<const RouteTable> routes{}; ///< configuration in force; null until one was received
     std::unordered_map<ServiceName, RetryBudget> retryBudgets{};
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -178,7 +178,7 @@
     const TimePoint now = context.clock.now();
     const std::vector<ForwardingPtr> open = forwardings;
     for (const ForwardingPtr &forwarding : open) {
-        forwarding->checkTime(now);
+        forwarding->checkTimeouts(now);
     }
     std::erase_if(forwardings, [](const ForwardingPtr &forwarding) {
         return forwarding->isOver();
@@ -194,8 +194,8 @@
     const milliseconds threshold = stallThreshold(context);
     std::vector<Forwarding *> stalled;
     for (const ForwardingPtr &forwarding : open) {
-        const bool isStalled = !forwarding->isOver() && !forwarding->chain().empty() && now - forwarding->progressAt() >= threshold;
-        if (isStalled && now - forwarding->progressAt() < threshold + suspectWindow) {
+        const bool isStalled = !forwarding->isOver() && !forwarding->chain().empty() && now - forwarding->lastProgressAt() >= threshold;
+        if (isStalled && now - forwarding->lastProgressAt() < threshold + suspectWindow) {
             stalled.push_back(forwarding.get());
         }
     }
@@ -206,7 +206,7 @@
     for (const ForwardingPtr &forwarding : open) {
         for (const ChainStage &part : forwarding->chain()) {
             TimePoint &at = lastProgressAt[part.id];
-            at = std::max(at, forwarding->progressAt());
+            at = std::max(at, forwarding->lastProgressAt());
         }
     }
     for (const Forwarding *forwarding : stalled) {
@@ -231,7 +231,7 @@
 void Relay::Private::moveStreamsFrom(const TargetId &unresponsive)
 {
     for (const ForwardingPtr &forwarding : std::vector<ForwardingPtr>(forwardings)) {
-        forwarding->noteDeadTarget(unresponsive);
+        forwarding->handleFailedTarget(unresponsive);
     }
 }
 
@@ -335,7 +335,7 @@
 }
 
 Relay::Relay(EventLoop &loop, const Clock &clock, const PlatformAdapter &adapter, const RelaySettings &settings)
-    : d(new Private{{loop, clock, adapter, settings, TargetConnections(loop, clock)}, HttpClient(loop), {}})
+    : d(new Private{{loop, clock, adapter, settings, TargetConnectionPool(loop, clock)}, HttpClient(loop), {}})
 {
     Private &data = *d;
     data.context.entryCount.startedAt = clock.now();
@@ -352,7 +352,7 @@
     });
     data.leaveTimer = std::make_unique<Timer>(loop, [&data] {
         for (const ForwardingPtr &forwarding : std::vector<ForwardingPtr>(data.forwardings)) {
-            forwarding->leaveGoingEngines();
+            forwarding->moveOffLeavingEngines();
         }
     });
     data.drainTimer = std::make_unique<Timer>(loop, [&data] {
@@ -376,7 +376,7 @@
     data.hooks.moveStream = [&data](const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done) {
         data.moveStream(attemptId, chain, std::move(done));
     };
-    data.hooks.askEngine = [&data](const TargetId &first) {
+    data.hooks.requestEngineReport = [&data](const TargetId &first) {
         data.prober->probe(first);
     };
 }
@@ -460,8 +460,8 @@
     data.lease->start();
     data.prober->start();
     data.placement->start();
-    data.forwardingTimer->startRepeating(forwardingTick);
-    data.leaveTimer->startRepeating(leaveCheckInterval);
+    data.forwardingTimer->startRepeating(forwardingCheckInterval);
+    data.leaveTimer->startRepeating(leavingEngineCheckInterval);
     data.budgetTimer->startRepeating(budgetUpdateInterval);
     logEvent(Event::ProcessStarted,
              {{"id", settings.id}, {"callers", settings.callerAddress}, {"data_center", settings.dataCenter}, {"version", PARSLEYTRAIL_VERSION}});
--- a/tests/relay_calls_test.cpp
+++ b/tests/relay_calls_test.cpp
@@ -1,5 +1,5 @@
-// The relay before plain services: what a caller gets when targets fail, cut, spoil or double their answers, and what a
-// target never sees.
+// The relay in front of plain services: what callers get when targets fail or send truncated, invalid or duplicate responses,
+// and which requests and header fields must not reach a target.
 #include "tests/relay_system.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -17,12 +17,12 @@
 namespace
 {
 
-RawReply answerWell(const RawRequest &request)
+RawReply answerSuccessfully(const RawRequest &request)
 {
     return {sealedAnswer(request, "fine")};
 }
 
-/// Bytes that a caller sends, and the status of the answer.
+/// Bytes that a caller sends, and the expected status of the response.
 struct BadInput {
     const char *name;
     std::string bytes;
@@ -54,7 +54,7 @@
     {"no key", "GET /read/x HTTP/1.1\r\nHost: host.example\r\n\r\n", 401},
 };
 
-/// An answer of a target that must not reach a caller as a success.
+/// A target's response that must not reach a caller as a success.
 struct BadAnswer {
     const char *name;
     RawReply (*reply)(const RawRequest &);
@@ -119,7 +119,7 @@
 BOOST_AUTO_TEST_CASE(aRequestIsPassedOnUnchangedButForItsOwnFields)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.call("POST", "/book/a?b=c", "id-1", "two bytes \r\n\x01",
                                         "X-Own: kept\r\nX-Tenant: forged\r\nX-Expect-Instance: forged\r\nConnection: X-Drop\r\nX-Drop: 1\r\n");
@@ -146,7 +146,7 @@
 BOOST_AUTO_TEST_CASE(aChunkedBodyReachesTheTargetWhole)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send(withFields("Transfer-Encoding: chunked\r\n") + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     system.wait("answer", [&] {
@@ -159,7 +159,7 @@
 BOOST_DATA_TEST_CASE(badInputIsAnsweredAndReachesNoTarget, boost::unit_test::data::make(badInputs), bad)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send(bad.bytes);
     system.wait("answer", [&] {
@@ -171,12 +171,12 @@
 
 BOOST_DATA_TEST_CASE(aRepeatableRequestIsServedByAnotherTarget, boost::unit_test::data::make(badAnswers), bad)
 {
-    // The first target that is asked spoils its answer; the request may run again, so that the caller gets the other
-    // target's whole answer and no byte of the first.
+    // The first target that gets the request sends an invalid response. The request may run twice, so the caller must get the
+    // complete response of the other target and no byte of the first.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     const auto handler = [&](const RawRequest &request) {
-        return ++asked == 1 ? bad.reply(request) : answerWell(request);
+        return ++received == 1 ? bad.reply(request) : answerSuccessfully(request);
     };
     system.addTarget("t1", handler);
     system.addTarget("t2", handler);
@@ -187,17 +187,17 @@
     });
     BOOST_TEST(call->status() == 200);
     BOOST_TEST(call->body() == "fine");
-    BOOST_TEST(asked == 2);
+    BOOST_TEST(received == 2);
 }
 
 BOOST_DATA_TEST_CASE(aRequestThatMayNotRepeatIsNeverSentTwice, boost::unit_test::data::make(badAnswers), bad)
 {
-    // The target has the request and spoils its answer: it may have run. The caller must not be told that it did not, and
-    // no other target may get it.
+    // The target sends an invalid response to a request that it may have run. The caller must not get a status that guarantees
+    // that it did not run, and no other target may get the request.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     const auto handler = [&](const RawRequest &request) {
-        ++asked;
+        ++received;
         return bad.reply(request);
     };
     system.addTarget("t1", handler);
@@ -210,7 +210,7 @@
     BOOST_TEST(call->status() == 502);
     BOOST_TEST(call->field("X-Response-Seal").empty());
     system.idle(milliseconds(100));
-    BOOST_TEST(asked == 1);
+    BOOST_TEST(received == 1);
 }
 
 BOOST_AUTO_TEST_CASE(aTargetThatDidNotRunItLeavesTheCallerFreeToComeBack)
@@ -231,8 +231,8 @@
 
 BOOST_AUTO_TEST_CASE(a503WithoutAPromiseIsNotPassedOnAsOne)
 {
-    // A target answers 503 and does not say that it did not run the request. To callers a 503 is a promise: a booking
-    // answered so would be made again.
+    // A target responds with 503 without stating that it did not run the request. Callers treat a 503 as a guarantee that the
+    // request did not run: they would send a booking again.
     RelaySystem system;
     system.addTarget("t1", [](const RawRequest &request) {
         return RawReply{sealedAnswer(request, "", "HTTP/1.1 503 Broken")};
@@ -263,13 +263,13 @@
 
 BOOST_AUTO_TEST_CASE(aSecondAnswerIsNotTakenForTheNext)
 {
-    // A target answers one request twice. The second answer arrives where the answer to the next request on the connection
-    // is due: without a look at its id, another caller would get it.
+    // A target sends two responses to one request. The second arrives where the response to the next request on the connection
+    // is expected: without a check of its id, another caller would get it.
     RelaySystem system;
-    int asked = 0;
+    int received = 0;
     system.addTarget("t1", [&](const RawRequest &request) {
-        RawReply reply = answerWell(request);
-        if (++asked == 2) {
+        RawReply reply = answerSuccessfully(request);
+        if (++received == 2) {
             reply.bytes = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Response-Seal: s\r\nContent-Length: 5\r\n\r\nstale" + sealedAnswer(request, "second");
         }
         return reply;
@@ -290,7 +290,7 @@
 BOOST_AUTO_TEST_CASE(bytesOnAnIdleConnectionEndIt)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr first = system.call("GET", "/read/x", "id-1");
     system.wait("first answer", [&] {
@@ -306,12 +306,12 @@
     BOOST_TEST(target.requests().at(1).connection == 2);
 }
 
-BOOST_AUTO_TEST_CASE(keptConnectionsAreUsedOnlyForWhatMayRepeat)
+BOOST_AUTO_TEST_CASE(keptConnectionsAreUsedOnlyForRepeatableRequests)
 {
-    // A target closes idle connections when it likes. A booking sent on one that was just closed is reset, and nobody knows
-    // whether it ran: it gets a connection of its own.
+    // A target may close an idle connection at any time. A booking sent on a connection that was just closed is reset, and
+    // whether it ran is unknown. Requests that may not be repeated therefore always get a new connection.
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     for (const char *path : {"/read/x", "/read/x", "/book/x", "/book/x"}) {
         const RawCallPtr call = system.call("POST", path, path, "body");
@@ -324,12 +324,12 @@
     BOOST_TEST(target.requests().at(3).connection == 3);
 }
 
-BOOST_AUTO_TEST_CASE(aStaleConnectionCostsNobodyHisAnswer)
+BOOST_AUTO_TEST_CASE(aStaleConnectionLosesNoAnswer)
 {
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        // The second request of a connection is met by a reset, as by a target that had closed it.
-        return request.field("X-Attempt-Id") == "id-2" && request.connection == 1 ? RawReply{"", false, true} : answerWell(request);
+        // The second request on a connection is reset, as if the target had closed the idle connection.
+        return request.field("X-Attempt-Id") == "id-2" && request.connection == 1 ? RawReply{"", false, true} : answerSuccessfully(request);
     });
     system.waitReady();
     for (const char *id : {"id-1", "id-2"}) {
@@ -344,10 +344,10 @@
 
 BOOST_AUTO_TEST_CASE(anAnswerBeforeTheBodyWasReadEndsItsConnection)
 {
-    // A target answers a request of 40 KB before it has read it and reads on later. Another request sent on that connection
-    // would be taken for the rest of the body.
+    // A target responds to a request of 40 KB before it has read the body, and reads the body later. It would read another
+    // request on that connection as a part of the body.
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr first = system.call("POST", "/read/x", "id-1", std::string(40000, 'a'));
     system.wait("first answer", [&] {
@@ -366,7 +366,7 @@
 {
     RelaySystem system;
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(60000);
         return reply;
     });
@@ -387,7 +387,7 @@
     options.callTimeout = milliseconds(200);
     RelaySystem system(options);
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(60000);
         return reply;
     });
@@ -402,10 +402,10 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(aRelayThatStoodStillKeepsItsPeers)
+BOOST_AUTO_TEST_CASE(aRelayThatWasPausedKeepsItsPeers)
 {
-    // A relay is frozen for longer than its peers may be silent, and goes on before it has read what they sent meanwhile.
-    // It still counts them: their streams at the engines, and that one of them may be giving orders.
+    // A relay is paused for longer than the timeout of its peers, and resumes before it has read what they sent meanwhile. It
+    // must not treat them as lost: their streams at the engines still count, and one of them may be giving orders.
     RelaySystemOptions options;
     options.relays = 2;
     RelaySystem system(options);
@@ -423,8 +423,8 @@
 BOOST_AUTO_TEST_CASE(aDrainingTargetGetsNothingNew)
 {
     RelaySystem system;
-    StandIn::RawTarget &leaving = system.addTarget("t1", answerWell);
-    StandIn::RawTarget &staying = system.addTarget("t2", answerWell);
+    StandIn::RawTarget &leaving = system.addTarget("t1", answerSuccessfully);
+    StandIn::RawTarget &staying = system.addTarget("t2", answerSuccessfully);
     system.waitReady();
     system.registerTarget("t1", "shop", leaving.address(), "draining");
     system.waitState("\"isDraining\": true");
@@ -441,7 +441,7 @@
 BOOST_AUTO_TEST_CASE(aRevokedKeyIsRefusedAndANewOneServed)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.configure(2, {"key-2"});
     system.waitState("\"configurationVersion\": 2");
@@ -462,7 +462,7 @@
     RelaySystemOptions options;
     options.version = 5;
     RelaySystem system(options);
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.configure(4, {"key-old"});
     system.idle(milliseconds(600));
@@ -476,7 +476,7 @@
 BOOST_AUTO_TEST_CASE(publicRoutesNeedNoKeyAndNameNoWorkspace)
 {
     RelaySystem system;
-    StandIn::RawTarget &target = system.addTarget("t1", answerWell);
+    StandIn::RawTarget &target = system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     const RawCallPtr call = system.send("GET /open/x HTTP/1.1\r\nHost: host.example\r\nX-Attempt-Id: id-1\r\nX-Tenant: forged\r\n\r\n");
     system.wait("answer", [&] {
@@ -488,7 +488,8 @@
 
 BOOST_AUTO_TEST_CASE(withoutTheStoreARelayIsNotReadyAndPromisesNothingItMayNotKeep)
 {
-    // The store is away when a relay starts: it knows no configuration and can't say that a path or a key is unknown.
+    // The store is unreachable when a relay starts. Without a configuration the relay can't tell whether a path or a key is
+    // unknown, so it must respond with 503 and Retry-After.
     RelaySystemOptions options;
     options.relays = 0;
     RelaySystem system(options);
@@ -504,11 +505,11 @@
     BOOST_TEST(!call->field("Retry-After").empty());
 }
 
-/// Guards against callers of a process that died who come back to the new one, are refused at once and lost.
+/// Guards against losing callers that reconnect to a restarted process and are refused because it has no configuration yet.
 BOOST_AUTO_TEST_CASE(aRequestThatComesWithTheStartIsServedOnceTheConfigurationIsKnown)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.stopRelay(0);
     system.store().faults().isDown = true;
@@ -526,7 +527,7 @@
 BOOST_AUTO_TEST_CASE(whileTheStoreIsAwayWhatIsKnownIsServedAndWhatIsNotIsNotDenied)
 {
     RelaySystem system;
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.store().faults().isDown = true;
     system.idle(milliseconds(3500));
@@ -539,7 +540,8 @@
     BOOST_TEST(unknown->status() == 503);
 }
 
-/// Guards against work for a target that left after the store's return, of which a quiet store's watch tells up to two seconds late.
+/// Guards against sending requests to a target that was removed after the store recovered. The watch of a store without other
+/// changes reports the removal up to two seconds late.
 BOOST_AUTO_TEST_CASE(aTargetThatLeavesSomeTimeAfterTheStoresReturnGetsNothingMore)
 {
     RelaySystemOptions options;
@@ -547,18 +549,18 @@
         settings.storeWatch = milliseconds(2000);
     };
     RelaySystem system(options);
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     system.waitState("\"t1\"");
-    // The watch under way ends by a change; the calls after it fail.
+    // A change ends the watch call that is open; the calls after it fail.
     system.registerTarget("t2", "shop", {"127.0.0.1", 9});
     system.waitState("\"t2\"");
     system.store().faults().isDown = true;
     system.idle(milliseconds(700));
     system.store().faults().isDown = false;
-    constexpr milliseconds untilLapsedEntriesAreBack{2300};
-    constexpr milliseconds untilNoticed{900};
-    system.idle(untilLapsedEntriesAreBack + untilNoticed);
+    constexpr milliseconds lapsedEntryRecoveryTime{2300};
+    constexpr milliseconds detectionTime{900};
+    system.idle(lapsedEntryRecoveryTime + detectionTime);
     system.unregister("t1");
     system.idle(milliseconds(400));
     BOOST_TEST(system.relay().dumpState().find("\"t1\"") == std::string::npos);
@@ -566,8 +568,8 @@
 
 BOOST_AUTO_TEST_CASE(aRelayThatTheStoreTurnsAwayLearnsFromItsPeers)
 {
-    // The store answers one relay and not the other. A key is revoked meanwhile: the relay that is turned away must learn
-    // it from its peer, as it could not refuse the key otherwise.
+    // The store serves one relay and refuses the other with 503. When a key is revoked meanwhile, the refused relay must get
+    // the new configuration from its peer, otherwise it would continue to accept the key.
     RelaySystemOptions options;
     options.relays = 2;
     StandIn::RawTarget *gate = nullptr;
@@ -580,7 +582,7 @@
     StandIn::RawTarget refusing(system.loop(), [](const RawRequest &) {
         return RawReply{"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"};
     });
-    system.addTarget("t1", answerWell);
+    system.addTarget("t1", answerSuccessfully);
     system.waitReady();
     gate = &refusing;
     system.stopRelay(1);
@@ -601,13 +603,13 @@
 
 BOOST_AUTO_TEST_CASE(aPlainTargetThatAPeerAvoidsIsNotAskedForAReport)
 {
-    // One relay avoids a target after a reset and tells its peer. Plain services know no report: asked for one they answer
-    // 400, which was taken for a failure, so that a single reset had all relays avoid a sound target again and again.
+    // A relay avoids a target after a reset and reports that to its peer. Plain services have no report: they respond to a query
+    // for one with 400. Treating that as a failure made all relays avoid a healthy target repeatedly after a single reset.
     RelaySystemOptions options;
     options.relays = 2;
     RelaySystem system(options);
     StandIn::RawTarget &target = system.addTarget("t1", [](const RawRequest &request) {
-        return request.field("X-Attempt-Id") == "bad" ? RawReply{"", false, true} : answerWell(request);
+        return request.field("X-Attempt-Id") == "bad" ? RawReply{"", false, true} : answerSuccessfully(request);
     });
     system.waitReady();
     const RawCallPtr call = system.call("POST", "/book/x", "bad", "seat 4");
@@ -623,7 +625,7 @@
 {
     RelaySystem system;
     system.addTarget("t1", [](const RawRequest &request) {
-        RawReply reply = answerWell(request);
+        RawReply reply = answerSuccessfully(request);
         reply.delay = milliseconds(500);
         return reply;
     });
