--- a/src/entry/admission_queue.cpp
+++ b/src/entry/admission_queue.cpp
@@ -20,7 +20,7 @@
 };
 
 /// Streams of one model.
-struct Lane {
+struct ModelQueue {
     AdmissionLimit limit;
     FairShareLedger shares;
     std::size_t running = 0;
@@ -29,14 +29,14 @@
     TimeEstimate firstToken; ///< from start to first token
 
     /// Takes a waiting request out.
-    Callbacks take(std::size_t index)
+    Callbacks removeWaiting(std::size_t index)
     {
         Callbacks result = std::move(callbacks[index]);
         waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(index));
         callbacks.erase(callbacks.begin() + static_cast<std::ptrdiff_t>(index));
         return result;
     }
-    bool hasRoom() const
+    bool hasFreeSlot() const
     {
         return static_cast<double>(running) < limit.limit;
     }
@@ -46,10 +46,10 @@
 
 struct AdmissionQueue::Private {
     EntryContext &context;
-    std::map<ModelName, Lane> lanes;
+    std::map<ModelName, ModelQueue> queues;
     std::uint64_t &refused;
 
-    void startNext(Lane &lane);
+    void startNext(ModelQueue &queue);
 };
 
 AdmissionQueue::AdmissionQueue(EntryContext &context)
@@ -59,89 +59,89 @@
 
 AdmissionQueue::~AdmissionQueue() = default;
 
-void AdmissionQueue::Private::startNext(Lane &lane)
+void AdmissionQueue::Private::startNext(ModelQueue &queue)
 {
     const TimePoint now = context.clock.now();
-    while (lane.hasRoom()) {
-        const std::size_t next = selectNext(lane.waiting, lane.shares, now);
-        if (next == lane.waiting.size()) {
+    while (queue.hasFreeSlot()) {
+        const std::size_t next = selectNext(queue.waiting, queue.shares, now);
+        if (next == queue.waiting.size()) {
             return;
         }
-        recordStart(lane.shares, lane.waiting[next], now);
-        ++lane.running;
-        const Callbacks callbacks = lane.take(next);
+        recordStart(queue.shares, queue.waiting[next], now);
+        ++queue.running;
+        const Callbacks callbacks = queue.removeWaiting(next);
         callbacks.start();
     }
 }
 
 void AdmissionQueue::admit(AdmissionRequest request, std::function<void()> start, std::function<void()> refuse)
 {
-    Lane &lane = d->lanes[request.model];
+    ModelQueue &queue = d->queues[request.model];
     const bool isLimited = request.betweenTokens.count() > 0;
     if (!isLimited) {
-        ++lane.running;
+        ++queue.running;
         return start();
     }
-    if (lane.waiting.size() >= maxWaiting) {
+    if (queue.waiting.size() >= maxWaitingPerModel) {
         ++d->refused;
         return refuse();
     }
     // By the mean alone, half of those that start last would have their first token too late.
     const milliseconds expected =
-        lane.firstToken.meanSeconds > 0 ? adaptiveTimeout(lane.firstToken, milliseconds(0), request.firstTokenDeadline) : milliseconds(0);
+        queue.firstToken.meanSeconds > 0 ? adaptiveTimeout(queue.firstToken, milliseconds(0), request.firstTokenDeadline) : milliseconds(0);
     request.waiting.arrivedAt = d->context.clock.now();
     request.waiting.startBy = request.waiting.arrivedAt + std::max<microseconds>(request.firstTokenDeadline - expected, milliseconds(1));
-    lane.waiting.push_back(std::move(request.waiting));
-    lane.callbacks.push_back({std::move(start), std::move(refuse)});
-    d->startNext(lane);
+    queue.waiting.push_back(std::move(request.waiting));
+    queue.callbacks.push_back({std::move(start), std::move(refuse)});
+    d->startNext(queue);
 }
 
 bool AdmissionQueue::cancel(const ModelName &model, const RequestId &request)
 {
-    Lane &lane = d->lanes[model];
-    const auto it = std::find_if(lane.waiting.begin(), lane.waiting.end(), [&request](const WaitingRequest &waiting) {
+    ModelQueue &queue = d->queues[model];
+    const auto it = std::find_if(queue.waiting.begin(), queue.waiting.end(), [&request](const WaitingRequest &waiting) {
         return waiting.id == request;
     });
-    if (it == lane.waiting.end()) {
+    if (it == queue.waiting.end()) {
         return false;
     }
-    lane.take(static_cast<std::size_t>(it - lane.waiting.begin()));
+    queue.removeWaiting(static_cast<std::size_t>(it - queue.waiting.begin()));
     return true;
 }
 
-void AdmissionQueue::noteEnd(const ModelName &model)
+void AdmissionQueue::recordEnd(const ModelName &model)
 {
-    Lane &lane = d->lanes[model];
-    --lane.running;
-    d->startNext(lane);
+    ModelQueue &queue = d->queues[model];
+    --queue.running;
+    d->startNext(queue);
 }
 
-void AdmissionQueue::noteFirstToken(const ModelName &model, double seconds, double targetSeconds)
+void AdmissionQueue::recordFirstToken(const ModelName &model, double seconds, double targetSeconds)
 {
-    recordTime(d->lanes[model].firstToken, seconds);
-    noteGap(model, seconds, targetSeconds);
+    recordTime(d->queues[model].firstToken, seconds);
+    recordTokenGap(model, seconds, targetSeconds);
 }
 
-void AdmissionQueue::noteGap(const ModelName &model, double seconds, double targetSeconds)
+void AdmissionQueue::recordTokenGap(const ModelName &model, double seconds, double targetSeconds)
 {
     if (targetSeconds > 0) {
-        Lane &lane = d->lanes[model];
-        Parsleytrail::recordLatency(lane.limit, seconds, targetSeconds, lane.running, d->context.clock.now());
+        ModelQueue &queue = d->queues[model];
+        Parsleytrail::recordLatency(queue.limit, seconds, targetSeconds, queue.running, d->context.clock.now());
     }
 }
 
 void AdmissionQueue::tick()
 {
     const TimePoint now = d->context.clock.now();
-    for (auto &[model, lane] : d->lanes) {
-        d->startNext(lane);
-        std::vector<Callbacks> late;
-        const std::vector<std::size_t> indices = expiredRequests(lane.waiting, now);
+    for (auto &[model, queue] : d->queues) {
+        d->startNext(queue);
+        std::vector<Callbacks> expired;
+        const std::vector<std::size_t> indices = expiredRequests(queue.waiting, now);
         for (auto index = indices.rbegin(); index != indices.rend(); ++index) {
-            late.push_back(lane.take(*index));
+            expired.push_back(queue.removeWaiting(*index));
         }
-        d->refused += late.size();
-        for (const Callbacks &callbacks : late) {
+        d->refused += expired.size();
+        for (const Callbacks &callbacks : expired) {
             callbacks.refuse();
         }
     }
@@ -149,11 +149,11 @@
 
 std::string AdmissionQueue::describe() const
 {
-    nlohmann::json lanes = nlohmann::json::object();
-    for (const auto &[model, lane] : d->lanes) {
-        lanes[model.value] = {{"running", lane.running}, {"waiting", lane.waiting.size()}, {"limit", lane.limit.limit}};
+    nlohmann::json queues = nlohmann::json::object();
+    for (const auto &[model, queue] : d->queues) {
+        queues[model.value] = {{"running", queue.running}, {"waiting", queue.waiting.size()}, {"limit", queue.limit.limit}};
     }
-    return lanes.dump();
+    return queues.dump();
 }
 
 } // namespace Parsleytrail
--- a/src/entry/admission_queue.h
+++ b/src/entry/admission_queue.h
@@ -32,9 +32,9 @@
     /// The caller of a waiting request went away. Returns false if it does not wait (any more).
     bool cancel(const ModelName &model, const RequestId &request);
     /// A started request has ended.
-    void noteEnd(const ModelName &model);
-    void noteFirstToken(const ModelName &model, double seconds, double targetSeconds);
-    void noteGap(const ModelName &model, double seconds, double targetSeconds);
+    void recordEnd(const ModelName &model);
+    void recordFirstToken(const ModelName &model, double seconds, double targetSeconds);
+    void recordTokenGap(const ModelName &model, double seconds, double targetSeconds);
     /// Refuses what is late. Called every few tens of milliseconds.
     void tick();
 
@@ -46,6 +46,6 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t maxWaiting = 10000; ///< requests of one model; beyond it they are refused at once
+constexpr std::size_t maxWaitingPerModel = 10000; ///< requests of one model; beyond it they are refused at once
 
 } // namespace Parsleytrail
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -24,19 +24,19 @@
 
     void handle(const ExchangePtr &exchange);
     void refuse(const ExchangePtr &exchange, const std::string &requestId, const CompletionError &error) const;
-    bool identify(const HttpRequest &request, Caller &caller) const;
+    bool authenticate(const HttpRequest &request, Caller &caller) const;
     void route(const ExchangePtr &exchange, const Caller &caller);
     void routeService(const ExchangePtr &exchange, const Caller &caller, std::string_view path);
 };
 
 /// The caller's own id if it can be shown safely, or the request's.
-static std::string shownRequestId(const HttpRequest &request, const RequestId &own)
+static std::string publicRequestId(const HttpRequest &request, const RequestId &generated)
 {
-    const std::string sent = findHeader(request.headers, "X-Request-Id");
-    const bool isSafe = !sent.empty() && sent.size() <= maxRequestIdBytes && std::all_of(sent.begin(), sent.end(), [](unsigned char c) {
+    const std::string received = findHeader(request.headers, "X-Request-Id");
+    const bool isSafe = !received.empty() && received.size() <= maxRequestIdBytes && std::all_of(received.begin(), received.end(), [](unsigned char c) {
         return std::isgraph(c);
     });
-    return isSafe ? sent : own.value;
+    return isSafe ? received : generated.value;
 }
 
 void CallerApi::Private::refuse(const ExchangePtr &exchange, const std::string &requestId, const CompletionError &error) const
@@ -48,17 +48,17 @@
     replyProblem(exchange, {error.status, "", error.message, error.outcome, error.retryAfterSeconds}, {{"X-Request-Id", requestId}});
 }
 
-bool CallerApi::Private::identify(const HttpRequest &request, Caller &caller) const
+bool CallerApi::Private::authenticate(const HttpRequest &request, Caller &caller) const
 {
     const std::string key = bearerToken(request.headers);
-    const Configuration &inForce = configuration();
+    const Configuration &active = configuration();
     // Looked up by digest: how long the search takes tells nothing about the key.
-    const auto workspace = key.empty() ? inForce.workspaceByKeyDigest.end() : inForce.workspaceByKeyDigest.find(sha256Hex(key));
-    if (workspace == inForce.workspaceByKeyDigest.end()) {
+    const auto workspace = key.empty() ? active.workspaceByKeyDigest.end() : active.workspaceByKeyDigest.find(sha256Hex(key));
+    if (workspace == active.workspaceByKeyDigest.end()) {
         return false;
     }
     caller.workspace.value = workspace->second;
-    caller.section = &inForce.workspaces.at(workspace->second);
+    caller.section = &active.workspaces.at(workspace->second);
     return true;
 }
 
@@ -66,8 +66,8 @@
 {
     const std::size_t slash = path.find('/');
     const std::string service(path.substr(0, slash));
-    const std::string rest(slash == std::string_view::npos ? "/" : path.substr(slash));
-    calls.serve(exchange, caller, service, rest, configuration());
+    const std::string remainder(slash == std::string_view::npos ? "/" : path.substr(slash));
+    calls.serve(exchange, caller, service, remainder, configuration());
 }
 
 void CallerApi::Private::route(const ExchangePtr &exchange, const Caller &caller)
@@ -81,10 +81,10 @@
     const bool isText = path == "/v1/completions";
     const bool isModels = path == "/v1/models";
     if (!isChat && !isText && !isModels) {
-        return refuse(exchange, caller.shownId, {404, "no such path: " + request.path, "invalid_request_error", "", "not_found"});
+        return refuse(exchange, caller.publicId, {404, "no such path: " + request.path, "invalid_request_error", "", "not_found"});
     }
     if (request.method != (isModels ? "GET" : "POST")) {
-        return refuse(exchange, caller.shownId,
+        return refuse(exchange, caller.publicId,
                       {405, std::string("expected the method ") + (isModels ? "GET" : "POST"), "invalid_request_error", "", "method_not_allowed"});
     }
     if (isModels) {
@@ -97,13 +97,13 @@
 {
     Caller caller;
     caller.request.value = randomHex();
-    caller.shownId = shownRequestId(exchange->request(), caller.request);
+    caller.publicId = publicRequestId(exchange->request(), caller.request);
     if (!isReady()) {
-        const char *why = context.isDraining ? "this entry is stopping" : "this entry does not hold a configuration yet";
-        return refuse(exchange, caller.shownId, {503, why, "server_error", "", "not_ready", Outcome::NotRun, 1});
+        const char *reason = context.isDraining ? "this entry is stopping" : "this entry does not hold a configuration yet";
+        return refuse(exchange, caller.publicId, {503, reason, "server_error", "", "not_ready", Outcome::NotRun, 1});
     }
-    if (!identify(exchange->request(), caller)) {
-        return refuse(exchange, caller.shownId, {401, "expected a workspace's key as a bearer token", "invalid_request_error", "", "invalid_api_key"});
+    if (!authenticate(exchange->request(), caller)) {
+        return refuse(exchange, caller.publicId, {401, "expected a workspace's key as a bearer token", "invalid_request_error", "", "invalid_api_key"});
     }
     route(exchange, caller);
 }
--- a/src/entry/completion_answer.cpp
+++ b/src/entry/completion_answer.cpp
@@ -8,12 +8,12 @@
 using nlohmann::json;
 
 /// Text of tokens is whatever the engine gives; a broken UTF-8 sequence must not break the answer.
-static std::string toText(const json &value)
+static std::string serialize(const json &value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-static json envelope(const CompletionAnswer &answer, bool isChunk)
+static json makeEnvelope(const CompletionAnswer &answer, bool isChunk)
 {
     const bool isChat = answer.request.kind == CompletionKind::Chat;
     return {{"id", (isChat ? "chatcmpl-" : "cmpl-") + answer.id.value},
@@ -24,7 +24,7 @@
             {"model", answer.request.service}};
 }
 
-static json usageOf(const CompletionAnswer &answer, std::uint32_t promptTokens)
+static json makeUsage(const CompletionAnswer &answer, std::uint32_t promptTokens)
 {
     return {{"prompt_tokens", promptTokens}, {"completion_tokens", answer.tokens}, {"total_tokens", promptTokens + answer.tokens}};
 }
@@ -34,21 +34,21 @@
     return reason == FinishReason::Stop ? "stop" : "length";
 }
 
-static std::string sse(const json &event)
+static std::string serverSentEvent(const json &event)
 {
-    return "data: " + toText(event) + "\n\n";
+    return "data: " + serialize(event) + "\n\n";
 }
 
 /// One event of a stream; `finish` is null but in the last.
-static json chunk(const CompletionAnswer &answer, const json &delta, const json &finish)
+static json makeChunk(const CompletionAnswer &answer, const json &delta, const json &finish)
 {
-    json event = envelope(answer, true);
+    json event = makeEnvelope(answer, true);
     if (answer.request.kind == CompletionKind::Chat) {
         event["choices"] = json::array({{{"index", 0}, {"delta", delta}, {"logprobs", nullptr}, {"finish_reason", finish}}});
     } else {
         event["choices"] = json::array({{{"index", 0}, {"text", delta.value("content", "")}, {"logprobs", nullptr}, {"finish_reason", finish}}});
     }
-    if (answer.request.withUsage) {
+    if (answer.request.includeUsage) {
         event["usage"] = nullptr;
     }
     return event;
@@ -57,9 +57,9 @@
 static HttpHeaders answerHeaders(const CompletionAnswer &answer)
 {
     if (answer.request.isStream) {
-        return {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"}, {"X-Request-Id", answer.shownId}};
+        return {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"}, {"X-Request-Id", answer.publicId}};
     }
-    return {{"Content-Type", "application/json"}, {"X-Request-Id", answer.shownId}};
+    return {{"Content-Type", "application/json"}, {"X-Request-Id", answer.publicId}};
 }
 
 void pushToken(CompletionAnswer &answer, const TokenFrame &token)
@@ -72,30 +72,30 @@
     if (!answer.exchange->isBegun()) {
         answer.exchange->beginStream(200, answerHeaders(answer));
         if (answer.request.kind == CompletionKind::Chat) {
-            answer.exchange->pushChunk(sse(chunk(answer, {{"role", "assistant"}, {"content", ""}}, nullptr)));
+            answer.exchange->pushChunk(serverSentEvent(makeChunk(answer, {{"role", "assistant"}, {"content", ""}}, nullptr)));
         }
     }
     if (!token.text.empty()) {
-        answer.exchange->pushChunk(sse(chunk(answer, {{"content", token.text}}, nullptr)));
+        answer.exchange->pushChunk(serverSentEvent(makeChunk(answer, {{"content", token.text}}, nullptr)));
     }
 }
 
-static void endEvents(CompletionAnswer &answer, FinishReason reason, std::uint32_t promptTokens)
+static void endEventStream(CompletionAnswer &answer, FinishReason reason, std::uint32_t promptTokens)
 {
-    answer.exchange->pushChunk(sse(chunk(answer, json::object(), finishText(reason))));
-    if (answer.request.withUsage) {
-        json event = envelope(answer, true);
+    answer.exchange->pushChunk(serverSentEvent(makeChunk(answer, json::object(), finishText(reason))));
+    if (answer.request.includeUsage) {
+        json event = makeEnvelope(answer, true);
         event["choices"] = json::array();
-        event["usage"] = usageOf(answer, promptTokens);
-        answer.exchange->pushChunk(sse(event));
+        event["usage"] = makeUsage(answer, promptTokens);
+        answer.exchange->pushChunk(serverSentEvent(event));
     }
     answer.exchange->pushChunk("data: [DONE]\n\n");
     answer.exchange->endStream();
 }
 
-static void replyWhole(CompletionAnswer &answer, FinishReason reason, std::uint32_t promptTokens)
+static void replyNonStreamed(CompletionAnswer &answer, FinishReason reason, std::uint32_t promptTokens)
 {
-    json body = envelope(answer, false);
+    json body = makeEnvelope(answer, false);
     json choice = {{"index", 0}, {"logprobs", nullptr}, {"finish_reason", finishText(reason)}};
     if (answer.request.kind == CompletionKind::Chat) {
         choice["message"] = {{"role", "assistant"}, {"content", answer.text}};
@@ -103,23 +103,23 @@
         choice["text"] = answer.text;
     }
     body["choices"] = json::array({choice});
-    body["usage"] = usageOf(answer, promptTokens);
-    answer.exchange->reply(200, answerHeaders(answer), toText(body));
+    body["usage"] = makeUsage(answer, promptTokens);
+    answer.exchange->reply(200, answerHeaders(answer), serialize(body));
 }
 
 void endAnswer(CompletionAnswer &answer, FinishReason reason, std::uint32_t promptTokens)
 {
     if (answer.request.isStream) {
-        endEvents(answer, reason, promptTokens);
+        endEventStream(answer, reason, promptTokens);
     } else {
-        replyWhole(answer, reason, promptTokens);
+        replyNonStreamed(answer, reason, promptTokens);
     }
 }
 
 void failAnswer(CompletionAnswer &answer, const CompletionError &error)
 {
     if (!answer.exchange->isBegun()) {
-        return replyCompletionError(answer.exchange, error, answer.shownId);
+        return replyCompletionError(answer.exchange, error, answer.publicId);
     }
     // The status is out already: the error goes into the stream, and the missing [DONE] says that it is not whole.
     answer.exchange->pushChunk("data: " + completionErrorBody(error) + "\n\n");
--- a/src/entry/completion_answer.h
+++ b/src/entry/completion_answer.h
@@ -11,7 +11,7 @@
     CompletionRequest request; ///< as checked
     ExchangePtr exchange;      ///< the caller
     RequestId id;              ///< stream
-    std::string shownId;       ///< X-Request-Id
+    std::string publicId;      ///< X-Request-Id
     std::int64_t created = 0;  ///< seconds since 1970
     std::string text;          ///< of a whole answer
     std::uint32_t tokens = 0;  ///< generated so far
--- a/src/entry/completion_request.cpp
+++ b/src/entry/completion_request.cpp
@@ -46,7 +46,7 @@
 {
 
 /// Fields that change nothing here: sampling of a deterministic model, and labels.
-bool isIgnorable(const std::string &field)
+bool isIgnoredField(const std::string &field)
 {
     static const std::set<std::string> fields = {"temperature", "top_p", "presence_penalty", "frequency_penalty", "seed", "user", "metadata", "store"};
     return fields.count(field) > 0;
@@ -103,8 +103,8 @@
 
 bool readCount(const json &value, const std::string &field, std::uint32_t &out, CompletionError &error)
 {
-    constexpr std::uint64_t most = 65536;
-    const bool isCount = value.is_number_unsigned() && value.get<std::uint64_t>() >= 1 && value.get<std::uint64_t>() <= most;
+    constexpr std::uint64_t maxCount = 65536;
+    const bool isCount = value.is_number_unsigned() && value.get<std::uint64_t>() >= 1 && value.get<std::uint64_t>() <= maxCount;
     if (!isCount) {
         return refuse(error, field, "expected a whole number from 1 to 65536");
     }
@@ -121,28 +121,28 @@
         if (name != "include_usage" || !value.is_boolean()) {
             return refuse(error, "stream_options", "expected include_usage with true or false");
         }
-        request.withUsage = value.get<bool>();
+        request.includeUsage = value.get<bool>();
     }
     return true;
 }
 
 /// Fields that are accepted only with the value that asks for nothing.
-bool readNeutral(const std::string &field, const json &value, CompletionError &error)
+bool checkUnsupportedField(const std::string &field, const json &value, CompletionError &error)
 {
     if (field == "n" || field == "best_of") {
         return value == 1 || refuse(error, field, "only one choice is supported", "unsupported_value");
     }
-    const bool isOff = value.is_null() || value == false || (value.is_array() && value.empty()) || (value.is_object() && value.empty());
+    const bool isNeutral = value.is_null() || value == false || (value.is_array() && value.empty()) || (value.is_object() && value.empty());
     if (field == "response_format") {
-        return isOff || value.value("type", json()) == "text" || refuse(error, field, "only the response format text is supported", "unsupported_value");
+        return isNeutral || value.value("type", json()) == "text" || refuse(error, field, "only the response format text is supported", "unsupported_value");
     }
-    static const std::set<std::string> known = {"stop",          "logprobs",   "top_logprobs", "tools",           "tool_choice", "functions",
-                                                "function_call", "logit_bias", "audio",        "modalities",      "prediction",  "parallel_tool_calls",
-                                                "echo",          "suffix",     "service_tier", "reasoning_effort"};
-    if (!known.count(field)) {
+    static const std::set<std::string> unsupported = {"stop",          "logprobs",   "top_logprobs", "tools",           "tool_choice", "functions",
+                                                      "function_call", "logit_bias", "audio",        "modalities",      "prediction",  "parallel_tool_calls",
+                                                      "echo",          "suffix",     "service_tier", "reasoning_effort"};
+    if (!unsupported.count(field)) {
         return refuse(error, field, "unrecognized request argument: " + field, "unknown_parameter");
     }
-    return isOff || refuse(error, field, field + " is not supported", "unsupported_parameter");
+    return isNeutral || refuse(error, field, field + " is not supported", "unsupported_parameter");
 }
 
 bool readField(const std::string &field, const json &value, CompletionRequest &request, CompletionError &error)
@@ -162,7 +162,7 @@
         request.isStream = value == true;
         return true;
     }
-    if (value.is_null() || isIgnorable(field)) {
+    if (value.is_null() || isIgnoredField(field)) {
         return true;
     }
     if (field == "messages" && isChat) {
@@ -177,7 +177,7 @@
     if (field == "stream_options") {
         return readStreamOptions(value, request, error);
     }
-    return readNeutral(field, value, error);
+    return checkUnsupportedField(field, value, error);
 }
 
 } // namespace
--- a/src/entry/completion_request.h
+++ b/src/entry/completion_request.h
@@ -21,7 +21,7 @@
     std::string service;         ///< "model" in the request
     std::string prompt;          ///< text for the engines
     bool isStream = false;       ///< server-sent events
-    bool withUsage = false;      ///< a last event with usage
+    bool includeUsage = false;   ///< a last event with usage
     std::uint32_t maxTokens = 0; ///< 0: the service's own
 };
 
--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -30,7 +30,7 @@
 
 // [SECTION] Errors
 
-CompletionError convictedError(Outcome outcome)
+CompletionError quarantinedInputError(Outcome outcome)
 {
     CompletionError error;
     error.status = 422;
@@ -42,8 +42,8 @@
 
 CompletionError toError(const StreamFailure &failure)
 {
-    if (failure.isConvicted) {
-        return convictedError(failure.outcome);
+    if (failure.isQuarantined) {
+        return quarantinedInputError(failure.outcome);
     }
     CompletionError error;
     error.status = failure.isTimeout ? 504 : failure.outcome == Outcome::NotRun ? 503 : 502;
@@ -66,22 +66,23 @@
     WorkKeeper &work;
     AdmissionQueue admission;
     std::map<WorkspaceName, std::size_t> openByWorkspace;
-    std::size_t openInAll = 0;
+    std::size_t openTotal = 0;
     std::uint64_t &answered;
     std::uint64_t &refused;
     std::uint64_t &failed;
     std::uint64_t &abandoned;
 
-    void run(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration, CompletionKind kind);
-    bool admit(const CompletionRequest &request, const Caller &caller, const Configuration &configuration, CompletionError &error) const;
-    void start(const std::shared_ptr<OpenAnswer> &answer, StreamRequest request, AdmissionRequest wanted);
-    StreamHandlers handlersFor(const std::shared_ptr<OpenAnswer> &answer);
-    void measure(OpenAnswer &answer);
+    void handleRequest(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration, CompletionKind kind);
+    bool checkRequest(const CompletionRequest &request, const Caller &caller, const Configuration &configuration, CompletionError &error) const;
+    void start(const std::shared_ptr<OpenAnswer> &answer, StreamRequest request, AdmissionRequest admissionRequest);
+    StreamHandlers makeHandlers(const std::shared_ptr<OpenAnswer> &answer);
+    void recordTokenLatency(OpenAnswer &answer);
     void abandon(OpenAnswer &answer);
     void release(const OpenAnswer &answer);
 };
 
-bool Completions::Private::admit(const CompletionRequest &request, const Caller &caller, const Configuration &configuration, CompletionError &error) const
+bool Completions::Private::checkRequest(const CompletionRequest &request, const Caller &caller, const Configuration &configuration,
+                                        CompletionError &error) const
 {
     const auto service = configuration.services.find(request.service);
     const auto &allowed = caller.section->services;
@@ -90,9 +91,9 @@
         error.status = 404;
         return refuse(error, "model", "the model '" + request.service + "' does not exist or is not open to this workspace", "model_not_found");
     }
-    const auto inWorkspace = openByWorkspace.find(caller.workspace);
-    const std::size_t open = inWorkspace == openByWorkspace.end() ? 0 : inWorkspace->second;
-    const bool isFull = openInAll >= static_cast<std::size_t>(context.settings.maxStreams);
+    const auto workspaceCount = openByWorkspace.find(caller.workspace);
+    const std::size_t open = workspaceCount == openByWorkspace.end() ? 0 : workspaceCount->second;
+    const bool isFull = openTotal >= static_cast<std::size_t>(context.settings.maxStreams);
     if (isFull || open >= static_cast<std::size_t>(caller.section->maxStreams)) {
         error.status = isFull ? 503 : 429;
         error.type = isFull ? "server_error" : "rate_limit_error";
@@ -110,34 +111,34 @@
 /// The answer is over, whichever way.
 void Completions::Private::release(const OpenAnswer &answer)
 {
-    --openInAll;
+    --openTotal;
     if (--openByWorkspace[answer.workspace] == 0) {
         openByWorkspace.erase(answer.workspace);
     }
     if (answer.startedAt != TimePoint{}) {
-        admission.noteEnd(answer.owner.model);
+        admission.recordEnd(answer.owner.model);
     }
 }
 
-void Completions::Private::measure(OpenAnswer &answer)
+void Completions::Private::recordTokenLatency(OpenAnswer &answer)
 {
     const TimePoint now = context.clock.now();
     const auto seconds = [now](TimePoint from) {
         return std::chrono::duration<double>(now - from).count();
     };
     if (answer.lastTokenAt == TimePoint{}) {
-        admission.noteFirstToken(answer.owner.model, seconds(answer.startedAt), answer.betweenTokensTarget > 0 ? answer.firstTokenTarget : 0);
+        admission.recordFirstToken(answer.owner.model, seconds(answer.startedAt), answer.betweenTokensTarget > 0 ? answer.firstTokenTarget : 0);
     } else {
-        admission.noteGap(answer.owner.model, seconds(answer.lastTokenAt), answer.betweenTokensTarget);
+        admission.recordTokenGap(answer.owner.model, seconds(answer.lastTokenAt), answer.betweenTokensTarget);
     }
     answer.lastTokenAt = now;
 }
 
-StreamHandlers Completions::Private::handlersFor(const std::shared_ptr<OpenAnswer> &answer)
+StreamHandlers Completions::Private::makeHandlers(const std::shared_ptr<OpenAnswer> &answer)
 {
     StreamHandlers handlers;
     handlers.onToken = [this, answer](const TokenFrame &token) {
-        measure(*answer);
+        recordTokenLatency(*answer);
         pushToken(*answer, token);
         if (answer->exchange->buffered() > maxCallerBacklogBytes) {
             answer->exchange->abort();
@@ -173,9 +174,9 @@
     release(answer);
 }
 
-void Completions::Private::start(const std::shared_ptr<OpenAnswer> &answer, StreamRequest request, AdmissionRequest wanted)
+void Completions::Private::start(const std::shared_ptr<OpenAnswer> &answer, StreamRequest request, AdmissionRequest admissionRequest)
 {
-    ++openInAll;
+    ++openTotal;
     ++openByWorkspace[answer->workspace];
     answer->exchange->onClosed([this, answer] {
         abandon(*answer);
@@ -183,7 +184,7 @@
     const auto begin = [this, answer, request = std::make_shared<StreamRequest>(std::move(request))] {
         answer->startedAt = context.clock.now();
         work.expectUsage(answer->id, answer->owner);
-        streams.open(std::move(*request), handlersFor(answer));
+        streams.open(std::move(*request), makeHandlers(answer));
     };
     const auto refuseLate = [this, answer] {
         ++refused;
@@ -194,25 +195,25 @@
         error.message = "the first token would come too late; nothing was run";
         error.code = "overloaded";
         error.retryAfterSeconds = 1;
-        replyCompletionError(answer->exchange, error, answer->shownId);
+        replyCompletionError(answer->exchange, error, answer->publicId);
         release(*answer);
     };
-    admission.admit(std::move(wanted), begin, refuseLate);
+    admission.admit(std::move(admissionRequest), begin, refuseLate);
 }
 
-void Completions::Private::run(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration, CompletionKind kind)
+void Completions::Private::handleRequest(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration, CompletionKind kind)
 {
     CompletionRequest request;
     CompletionError error;
-    if (!readCompletionRequest(exchange->request().body, kind, request, error) || !admit(request, caller, configuration, error)) {
+    if (!readCompletionRequest(exchange->request().body, kind, request, error) || !checkRequest(request, caller, configuration, error)) {
         ++refused;
-        return replyCompletionError(exchange, error, caller.shownId);
+        return replyCompletionError(exchange, error, caller.publicId);
     }
     const ServiceSection &service = configuration.services.at(request.service);
     const ModelSection &model = configuration.models.at(service.model);
     StreamRequest stream;
     stream.id = caller.request;
-    stream.need = {{service.model}, service.version, service.adapter, static_cast<std::uint32_t>(model.layers)};
+    stream.requirements = {{service.model}, service.version, service.adapter, static_cast<std::uint32_t>(model.layers)};
     stream.prompt = request.prompt;
     stream.maxTokens = request.maxTokens > 0 ? request.maxTokens : static_cast<std::uint32_t>(service.maxTokens);
     const WorkOwner owner{caller.workspace, {request.service}, {service.model}, caller.section->worth};
@@ -220,10 +221,10 @@
     stream.service.value = request.service;
     stream.workspace = caller.workspace;
     stream.allowedInputs = service.allowInputs;
-    if (guard.judge(stream.fingerprint, service.allowInputs) == InputStatus::Quarantined) {
+    if (guard.classify(stream.fingerprint, service.allowInputs) == InputStatus::Quarantined) {
         ++refused;
         work.countRefused(owner);
-        return replyCompletionError(exchange, convictedError(Outcome::NotRun), caller.shownId);
+        return replyCompletionError(exchange, quarantinedInputError(Outcome::NotRun), caller.publicId);
     }
     stream.deadline = service.deadline;
     const auto answer = std::make_shared<OpenAnswer>();
@@ -233,19 +234,19 @@
     answer->id = caller.request;
     answer->workspace = caller.workspace;
     answer->owner = owner;
-    answer->shownId = caller.shownId;
+    answer->publicId = caller.publicId;
     answer->created = std::chrono::duration_cast<std::chrono::seconds>(context.clock.wallTime().time_since_epoch()).count();
     answer->firstTokenTarget = std::chrono::duration<double>(service.firstTokenDeadline).count();
     answer->betweenTokensTarget = std::chrono::duration<double>(service.betweenTokensTarget).count();
-    AdmissionRequest wanted;
-    wanted.waiting.id = caller.request;
-    wanted.waiting.workspace = caller.workspace;
-    wanted.waiting.worth = caller.section->worth;
-    wanted.waiting.cost = stream.maxTokens;
-    wanted.model.value = service.model;
-    wanted.firstTokenDeadline = service.firstTokenDeadline;
-    wanted.betweenTokens = service.betweenTokensTarget;
-    start(answer, std::move(stream), std::move(wanted));
+    AdmissionRequest admissionRequest;
+    admissionRequest.waiting.id = caller.request;
+    admissionRequest.waiting.workspace = caller.workspace;
+    admissionRequest.waiting.worth = caller.section->worth;
+    admissionRequest.waiting.cost = stream.maxTokens;
+    admissionRequest.model.value = service.model;
+    admissionRequest.firstTokenDeadline = service.firstTokenDeadline;
+    admissionRequest.betweenTokens = service.betweenTokensTarget;
+    start(answer, std::move(stream), std::move(admissionRequest));
 }
 
 // [SECTION] Completions
@@ -269,12 +270,12 @@
 
 void Completions::chat(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration)
 {
-    d->run(exchange, caller, configuration, CompletionKind::Chat);
+    d->handleRequest(exchange, caller, configuration, CompletionKind::Chat);
 }
 
 void Completions::complete(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration)
 {
-    d->run(exchange, caller, configuration, CompletionKind::Text);
+    d->handleRequest(exchange, caller, configuration, CompletionKind::Text);
 }
 
 void Completions::models(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration) const
@@ -287,7 +288,7 @@
         }
     }
     const json body = {{"object", "list"}, {"data", list}};
-    exchange->reply(200, {{"Content-Type", "application/json"}, {"X-Request-Id", caller.shownId}}, body.dump());
+    exchange->reply(200, {{"Content-Type", "application/json"}, {"X-Request-Id", caller.publicId}}, body.dump());
 }
 
 std::size_t Completions::open(const WorkspaceName &workspace) const
@@ -308,7 +309,7 @@
 
 std::size_t Completions::open() const
 {
-    return d->openInAll;
+    return d->openTotal;
 }
 
 } // namespace Parsleytrail
--- a/src/entry/completions.h
+++ b/src/entry/completions.h
@@ -18,7 +18,7 @@
     WorkspaceName workspace;                   ///< of the key
     const WorkspaceSection *section = nullptr; ///< valid during the call it is passed to
     RequestId request;                         ///< unique in the system
-    std::string shownId;                       ///< X-Request-Id of the answer: the caller's own, if it sent one
+    std::string publicId;                      ///< X-Request-Id of the answer: the caller's own, if it sent one
 };
 
 /// Serves the completion protocol.
--- a/src/entry/context.h
+++ b/src/entry/context.h
@@ -23,7 +23,7 @@
     Metrics &metrics;              ///< counters of the process
     History &history;              ///< events for tests
     std::mt19937_64 random;        ///< for choices between equals
-    RetryBudget retries;           ///< new attempts allowed
+    RetryBudget retryBudget;       ///< new attempts allowed
     bool isDraining = false;       ///< no new requests are taken
 };
 
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -115,7 +115,7 @@
     handlers.onClosed = [this](const LinkPtr &link, const Error &error) {
         logEvent(Event::LinkLost, {{"peer", link->peerName()}, {"process", link->peer().process}, {"reason", error.text}});
         targets->linkGone(link->peerName());
-        streams->linkGone(link->peerName(), error);
+        streams->handleLinkLost(link->peerName(), error);
         calls->linkGone(link->peerName(), error);
     };
     links = std::make_unique<LinkPool>(loop, identity, handlers);
@@ -170,10 +170,10 @@
 void Entry::Private::connectParts()
 {
     targets->onGone([this](const TargetId &target) {
-        streams->targetGone(target);
+        streams->handleTargetLost(target);
     });
     targets->onUsable([this] {
-        streams->targetsChanged();
+        streams->handleTargetsChanged();
     });
     targets->onOldConfiguration([this](const LinkPtr &link, ConfigurationVersion known) {
         keeper->sendTo(link, known, SectionScope::WithoutWorkspaces);
@@ -243,7 +243,7 @@
         });
     case SuspicionNotice::messageId:
         return decodeAnd<SuspicionNotice>(frame, [&](const SuspicionNotice &notice) {
-            guard->take(notice);
+            guard->handleNotice(notice);
         });
     case StageUsage::messageId:
         return decodeAnd<StageUsage>(frame, [&](const StageUsage &usage) {
@@ -252,7 +252,7 @@
     case TokenFrame::messageId:
     case StageFailed::messageId:
     case StageReport::messageId:
-        return streams->takeFrame(frame);
+        return streams->handleFrame(frame);
     default:
         return calls->takeFrame(frame);
     }
@@ -431,7 +431,7 @@
     json result = status();
     result["role"] = "entry";
     result["incarnation"] = incarnation.value;
-    result["retryBudget"] = {{"saved", context->retries.available}, {"burst", context->retries.burst}};
+    result["retryBudget"] = {{"saved", context->retryBudget.available}, {"burst", context->retryBudget.burst}};
     result["links"] = links->size();
     result["datagrams"] = {{"refused", datagrams->refused()},
                            {"unsent", datagrams->unsent()},
--- a/src/entry/input_guard.cpp
+++ b/src/entry/input_guard.cpp
@@ -18,33 +18,33 @@
 struct InputGuard::Private {
     EntryContext &context;
     Quarantine quarantine;
-    std::function<void(const SuspicionNotice &)> notice;
-    std::uint64_t &convicted;
+    std::function<void(const SuspicionNotice &)> noticeHandler;
+    std::uint64_t &quarantinedCount;
 
-    void add(std::uint64_t fingerprint, const Suspicion &suspicion);
-    SuspicionNotice noticeOf(std::uint64_t fingerprint, const Suspicion &suspicion) const;
+    void addSuspicion(std::uint64_t fingerprint, const Suspicion &suspicion);
+    SuspicionNotice toNotice(std::uint64_t fingerprint, const Suspicion &suspicion) const;
 };
 
-SuspicionNotice InputGuard::Private::noticeOf(std::uint64_t fingerprint, const Suspicion &suspicion) const
+SuspicionNotice InputGuard::Private::toNotice(std::uint64_t fingerprint, const Suspicion &suspicion) const
 {
     return {fingerprint, {suspicion.crashes.begin(), suspicion.crashes.end()}, suspicion.service, suspicion.workspace, suspicion.request};
 }
 
-void InputGuard::Private::add(std::uint64_t fingerprint, const Suspicion &suspicion)
+void InputGuard::Private::addSuspicion(std::uint64_t fingerprint, const Suspicion &suspicion)
 {
-    const bool wasConvicted = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
+    const bool wasQuarantined = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
     if (!recordCrash(quarantine, fingerprint, suspicion, context.clock.now())) {
         return;
     }
-    const bool isConvicted = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
-    if (isConvicted && !wasConvicted) {
-        ++convicted;
+    const bool isQuarantined = classifyInput(quarantine, fingerprint) == InputStatus::Quarantined;
+    if (isQuarantined && !wasQuarantined) {
+        ++quarantinedCount;
     }
-    logEvent(isConvicted ? Event::InputConvicted : Event::InputSuspected, {{"fingerprint", fingerprintText(fingerprint)},
-                                                                           {"service", suspicion.service.value},
-                                                                           {"workspace", suspicion.workspace.value},
-                                                                           {"request", suspicion.request.value}});
-    notice(noticeOf(fingerprint, quarantine.suspicions.at(fingerprint)));
+    logEvent(isQuarantined ? Event::InputConvicted : Event::InputSuspected, {{"fingerprint", fingerprintText(fingerprint)},
+                                                                             {"service", suspicion.service.value},
+                                                                             {"workspace", suspicion.workspace.value},
+                                                                             {"request", suspicion.request.value}});
+    noticeHandler(toNotice(fingerprint, quarantine.suspicions.at(fingerprint)));
 }
 
 InputGuard::InputGuard(EntryContext &context)
@@ -56,41 +56,42 @@
 
 void InputGuard::onNotice(std::function<void(const SuspicionNotice &)> handler)
 {
-    d->notice = std::move(handler);
+    d->noticeHandler = std::move(handler);
 }
 
-InputStatus InputGuard::judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const
+InputStatus InputGuard::classify(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const
 {
-    const InputStatus standing = classifyInput(d->quarantine, fingerprint);
-    const bool isAllowed = standing == InputStatus::Quarantined && std::find(allowed.begin(), allowed.end(), fingerprintText(fingerprint)) != allowed.end();
-    return isAllowed ? InputStatus::Suspect : standing;
+    const InputStatus status = classifyInput(d->quarantine, fingerprint);
+    const bool isAllowed = status == InputStatus::Quarantined && std::find(allowed.begin(), allowed.end(), fingerprintText(fingerprint)) != allowed.end();
+    return isAllowed ? InputStatus::Suspect : status;
 }
 
-void InputGuard::noteDeath(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace, const RequestId &request)
+void InputGuard::recordEngineCrash(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace,
+                                   const RequestId &request)
 {
-    d->add(fingerprint, {{crash}, service, workspace, request, {}});
+    d->addSuspicion(fingerprint, {{crash}, service, workspace, request, {}});
 }
 
-void InputGuard::notePass(std::uint64_t fingerprint)
+void InputGuard::clearInput(std::uint64_t fingerprint)
 {
     if (clearSuspicion(d->quarantine, fingerprint)) {
-        d->notice({fingerprint, {}, {}, {}, {}});
+        d->noticeHandler({fingerprint, {}, {}, {}, {}});
     }
 }
 
-void InputGuard::take(const SuspicionNotice &notice)
+void InputGuard::handleNotice(const SuspicionNotice &notice)
 {
     if (notice.crashes.empty()) {
-        return notePass(notice.fingerprint);
+        return clearInput(notice.fingerprint);
     }
-    d->add(notice.fingerprint, {{notice.crashes.begin(), notice.crashes.end()}, notice.service, notice.workspace, notice.request, {}});
+    d->addSuspicion(notice.fingerprint, {{notice.crashes.begin(), notice.crashes.end()}, notice.service, notice.workspace, notice.request, {}});
 }
 
 std::vector<SuspicionNotice> InputGuard::notices() const
 {
     std::vector<SuspicionNotice> list;
     for (const auto &[fingerprint, suspicion] : d->quarantine.suspicions) {
-        list.push_back(d->noticeOf(fingerprint, suspicion));
+        list.push_back(d->toNotice(fingerprint, suspicion));
     }
     return list;
 }
@@ -104,9 +105,9 @@
 {
     nlohmann::json list = nlohmann::json::array();
     for (const auto &[fingerprint, suspicion] : d->quarantine.suspicions) {
-        const bool isConvicted = classifyInput(d->quarantine, fingerprint) == InputStatus::Quarantined;
+        const bool isQuarantined = classifyInput(d->quarantine, fingerprint) == InputStatus::Quarantined;
         list.push_back({{"fingerprint", fingerprintText(fingerprint)},
-                        {"standing", isConvicted ? "refused" : "suspect"},
+                        {"standing", isQuarantined ? "refused" : "suspect"},
                         {"crashes", suspicion.crashes.size()},
                         {"service", suspicion.service.value},
                         {"workspace", suspicion.workspace.value},
--- a/src/entry/input_guard.h
+++ b/src/entry/input_guard.h
@@ -22,13 +22,14 @@
     void onNotice(std::function<void(const SuspicionNotice &)> handler);
 
     /// What is known of an input, unless the service's section allows it.
-    InputStatus judge(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const;
+    InputStatus classify(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const;
     /// An engine died with the input in flight. `crash` is the same for all that were in flight there.
-    void noteDeath(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace, const RequestId &request);
+    void recordEngineCrash(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace,
+                           const RequestId &request);
     /// The input has run past the point at which it was suspected.
-    void notePass(std::uint64_t fingerprint);
+    void clearInput(std::uint64_t fingerprint);
     /// Another entry told; tells it on if it was news.
-    void take(const SuspicionNotice &notice);
+    void handleNotice(const SuspicionNotice &notice);
     /// Everything known, for an entry that has just come up.
     std::vector<SuspicionNotice> notices() const;
     void prune();
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -147,7 +147,7 @@
             head.headers.push_back({header.name, header.value});
         }
     }
-    head.headers.push_back({"X-Request-Id", call.caller.shownId});
+    head.headers.push_back({"X-Request-Id", call.caller.publicId});
     head.bodyBytes = request.body.size();
     head.nonIdempotent = call.isNonIdempotent;
     head.deadlineMs = static_cast<std::uint32_t>(call.deadline.count());
@@ -199,7 +199,7 @@
         }
     });
     calls[id] = std::move(call);
-    recordRequest(context.retries);
+    recordRequest(context.retryBudget);
     send(id);
 }
 
@@ -215,12 +215,12 @@
     logEvent(Event::CallFailed,
              {{"request", request.value}, {"service", call.service.value}, {"outcome", outcomeText(problem.outcome)}, {"reason", problem.detail}});
     if (context.history.isOn()) {
-        context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.shownId}, {"outcome", outcomeText(problem.outcome)}});
+        context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.publicId}, {"outcome", outcomeText(problem.outcome)}});
     }
     const ExchangePtr exchange = call.exchange;
-    const std::string shownId = call.caller.shownId;
+    const std::string publicId = call.caller.publicId;
     erase(request);
-    replyProblem(exchange, problem, {{"X-Request-Id", shownId}});
+    replyProblem(exchange, problem, {{"X-Request-Id", publicId}});
 }
 
 void ServiceCalls::Private::cancelAtTarget(const OpenCall &call)
@@ -254,7 +254,7 @@
         return exchange->abort();
     }
     const bool isSafe = outcome == Outcome::NotRun || call->mayRepeat;
-    if (isSafe && call->tried < maxTargetsTried && tryConsumeRetry(context.retries) && chooseTarget(*call)) {
+    if (isSafe && call->tried < maxTargetsTried && tryConsumeRetry(context.retryBudget) && chooseTarget(*call)) {
         return send(request);
     }
     if (outcome == Outcome::NotRun) {
@@ -273,7 +273,7 @@
     leaveTarget(call);
     endKey(call, call.isTooLongToKeep ? KeyEnd::Unknown : KeyEnd::Answered);
     if (context.history.isOn()) {
-        context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.shownId}, {"outcome", "answered"}});
+        context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.publicId}, {"outcome", "answered"}});
     }
     const ExchangePtr exchange = call.exchange;
     erase(request);
@@ -312,7 +312,7 @@
     }
     headers.push_back({"parsley-outcome", "run"});
     if (findHeader(headers, "X-Request-Id").empty()) {
-        headers.push_back({"X-Request-Id", call->caller.shownId});
+        headers.push_back({"X-Request-Id", call->caller.publicId});
     }
     call->kept.status = static_cast<int>(head.status);
     call->kept.headers = headers;
@@ -369,7 +369,7 @@
 void ServiceCalls::Private::answerKeyed(OpenCall call, KeyVerdict verdict, const KeptAnswer &answer)
 {
     const auto refuseWith = [&](Problem problem) {
-        replyProblem(call.exchange, problem, {{"X-Request-Id", call.caller.shownId}});
+        replyProblem(call.exchange, problem, {{"X-Request-Id", call.caller.publicId}});
     };
     switch (verdict) {
     case KeyVerdict::Run:
@@ -428,7 +428,7 @@
     const HttpRequest &request = exchange->request();
     const auto refuse = [&](Problem problem) {
         ++d->notRun;
-        replyProblem(exchange, problem, {{"X-Request-Id", caller.shownId}});
+        replyProblem(exchange, problem, {{"X-Request-Id", caller.publicId}});
     };
     const auto section = configuration.services.find(service);
     const auto &allowed = caller.section->services;
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -13,9 +13,9 @@
 
 // [SECTION] State
 
-constexpr milliseconds longestProgressTimeout{5000}; ///< before anything is known of a model's times, and for answers of stages that are heard
-constexpr milliseconds exclusionLife{500};           ///< a waiting stream takes back targets that failed it after this time
-constexpr double retryRefillPerSecond = 0.1;         ///< share of the open streams that may get a new attempt each second, beyond the share of requests
+constexpr milliseconds maxProgressTimeout{5000}; ///< before anything is known of a model's times, and for answers of stages that are heard
+constexpr milliseconds exclusionLifetime{500};   ///< a waiting stream takes back targets that failed it after this time
+constexpr double retryRefillPerSecond = 0.1;     ///< share of the open streams that may get a new attempt each second, beyond the share of requests
 
 namespace
 {
@@ -26,20 +26,20 @@
     std::shared_ptr<const StreamHandlers> handlers;
     Attempt attempt;                                   ///< current; 0 before the first
     std::vector<StageAddress> chain;                   ///< current stages; empty while waiting for a target
-    std::vector<StageAddress> opened;                  ///< stages that may hold state of this stream
+    std::vector<StageAddress> openedStages;            ///< stages that may hold state of this stream
     std::vector<std::uint32_t> emitted;                ///< tokens given to the caller
-    std::set<TargetId> excluded;                       ///< failed this stream
+    std::set<TargetId> excludedTargets;                ///< failed this stream
     TimePoint openedAt{};                              ///< request taken
-    TimePoint progressAt{};                            ///< last token, or start of the attempt
+    TimePoint lastProgressAt{};                        ///< last token, or start of the attempt
     TimePoint failedAt{};                              ///< first failure since the last token; zero: none
     TimePoint waitingSince{};                          ///< no chain since; zero: has one
     bool isSuspect = false;                            ///< an engine died under it; cleared by the next token
     bool isAttemptSuspect = false;                     ///< the current attempt was opened as a suspect: its first steps run alone
-    TimePoint notBefore{};                             ///< no new attempt before
-    bool hasQuery = false;                             ///< StageQuery is out
-    TimePoint askedAt{};                               ///< when StageQuery went out
+    TimePoint retryNotBefore{};                        ///< no new attempt before
+    bool isQueryPending = false;                       ///< StageQuery is out
+    TimePoint queriedAt{};                             ///< when StageQuery went out
     std::vector<std::optional<StageProgress>> reports; ///< answers to it
-    std::uint32_t idleQueries = 0;                     ///< see judgeStall()
+    std::uint32_t inconclusiveQueries = 0;             ///< see judgeStall()
 };
 
 /// Times of one model's streams.
@@ -65,10 +65,10 @@
     Targets &targets;
     InputGuard &guard;
     std::unordered_map<RequestId, OpenStream> streams;
-    std::map<ModelName, ModelTimes> times;
+    std::map<ModelName, ModelTimes> timesByModel;
     TimePoint refilledAt{};
     Timer suspectTimer; ///< tries suspects again as soon as their pause is over
-    std::uint64_t &replaced;
+    std::uint64_t &stagesReplaced;
     std::uint64_t &tokensEmitted;
     std::uint64_t &tokensDropped;
     TimeHistogram &firstToken;
@@ -83,7 +83,7 @@
                        [this] {
                            retryWaiting();
                        })
-        , replaced(context.metrics.counter("parsley_stages_replaced", "New attempts made because a stage failed."))
+        , stagesReplaced(context.metrics.counter("parsley_stages_replaced", "New attempts made because a stage failed."))
         , tokensEmitted(context.metrics.counter("parsley_tokens_emitted", "Tokens given to callers."))
         , tokensDropped(context.metrics.counter("parsley_tokens_dropped", "Tokens that came twice, from an old attempt, or for no open stream."))
         , firstToken(context.metrics.histogram("parsley_first_token_seconds", "Time from a request to its first token."))
@@ -94,32 +94,32 @@
 
     OpenStream *find(const RequestId &request);
     ChainOptions chainOptions(const OpenStream &stream) const;
-    bool chooseStages(OpenStream &stream);
-    StageAddress toStage(const TargetView &target) const;
+    bool selectStages(OpenStream &stream);
+    StageAddress toStageAddress(const TargetView &target) const;
     void startAttempt(OpenStream &stream);
-    void wait(OpenStream &stream);
+    void markWaiting(OpenStream &stream);
     void retryWaiting();
-    void replaceStage(OpenStream &stream, std::uint32_t stageIndex, const Error &error, bool isTargetsFault);
-    void renew(OpenStream &stream, const Error &error);
+    void replaceStage(OpenStream &stream, std::uint32_t stageIndex, const Error &error, bool isTargetFault);
+    void tryNextAttempt(OpenStream &stream, const Error &error);
 
     void closeStage(const OpenStream &stream, const StageAddress &stage);
     void closeStages(const OpenStream &stream);
-    void closeLeftStages(OpenStream &stream);
+    void closeRemovedStages(OpenStream &stream);
     void finish(OpenStream &stream, FinishReason reason, std::uint32_t promptTokens);
     void fail(OpenStream &stream, const Error &error, StreamFailure failure = {});
 
-    void takeToken(const TokenFrame &frame);
-    void takeFailure(const StageFailed &frame);
-    bool noteDeath(OpenStream &stream, const StageFailed &frame);
-    void refuseConvicted(OpenStream &stream, const Error &error);
-    void takeReport(const StageReport &frame);
+    void handleToken(const TokenFrame &frame);
+    void handleStageFailure(const StageFailed &frame);
+    bool recordEngineCrash(OpenStream &stream, const StageFailed &frame);
+    void refuseQuarantined(OpenStream &stream, const Error &error);
+    void handleReport(const StageReport &frame);
 
     milliseconds progressTimeout(const OpenStream &stream);
-    bool isAnswerOverdue(const OpenStream &stream, TimePoint now) const;
-    void askStages(OpenStream &stream, TimePoint now);
+    bool isReportOverdue(const OpenStream &stream, TimePoint now) const;
+    void queryStages(OpenStream &stream, TimePoint now);
     void checkProgress(OpenStream &stream, TimePoint now);
-    void judge(OpenStream &stream);
-    void replaceWhere(const std::function<bool(const StageAddress &)> &matches, const Error &error, bool isTargetsFault);
+    void resolveStall(OpenStream &stream);
+    void replaceMatchingStages(const std::function<bool(const StageAddress &)> &matches, const Error &error, bool isTargetFault);
 };
 
 OpenStream *Streams::Private::find(const RequestId &request)
@@ -134,23 +134,23 @@
 {
     ChainOptions options;
     options.dataCenter = context.settings.dataCenter;
-    options.excluded = &stream.excluded;
+    options.excluded = &stream.excludedTargets;
     return options;
 }
 
-StageAddress Streams::Private::toStage(const TargetView &target) const
+StageAddress Streams::Private::toStageAddress(const TargetView &target) const
 {
     const Announcement &last = target.last;
     return {last.target, last.incarnation, last.host, last.port, last.layerBegin, last.layerEnd};
 }
 
-bool Streams::Private::chooseStages(OpenStream &stream)
+bool Streams::Private::selectStages(OpenStream &stream)
 {
     const std::vector<const TargetView *> views = targets.views();
-    const std::vector<std::size_t> chosen = selectChain(views, stream.request.need, chainOptions(stream), context.clock.now(), context.random);
+    const std::vector<std::size_t> selected = selectChain(views, stream.request.requirements, chainOptions(stream), context.clock.now(), context.random);
     stream.chain.clear();
-    for (const std::size_t index : chosen) {
-        stream.chain.push_back(toStage(*views[index]));
+    for (const std::size_t index : selected) {
+        stream.chain.push_back(toStageAddress(*views[index]));
     }
     return !stream.chain.empty();
 }
@@ -159,31 +159,31 @@
 {
     ++stream.attempt.value;
     stream.waitingSince = {};
-    stream.hasQuery = false;
-    stream.progressAt = context.clock.now();
-    closeLeftStages(stream);
+    stream.isQueryPending = false;
+    stream.lastProgressAt = context.clock.now();
+    closeRemovedStages(stream);
     OpenStage open;
     open.request = stream.request.id;
     open.attempt = stream.attempt;
     open.stages = stream.chain;
-    open.model = stream.request.need.model;
-    open.version = stream.request.need.version;
-    open.adapter = stream.request.need.adapter;
+    open.model = stream.request.requirements.model;
+    open.version = stream.request.requirements.version;
+    open.adapter = stream.request.requirements.adapter;
     open.tokens = stream.emitted;
     open.maxTokens = stream.request.maxTokens;
     open.priority = stream.request.priority;
-    open.isSuspect = guard.judge(stream.request.fingerprint, stream.request.allowedInputs) != InputStatus::Clear;
+    open.isSuspect = guard.classify(stream.request.fingerprint, stream.request.allowedInputs) != InputStatus::Clear;
     stream.isAttemptSuspect = open.isSuspect;
     for (std::uint32_t i = 0; i < stream.chain.size(); ++i) {
         const StageAddress &stage = stream.chain[i];
         open.stageIndex = i;
         open.prompt = i == 0 ? stream.request.prompt : std::string();
         context.links.link(addressOf(stage))->send(open);
-        const bool isNew = std::none_of(stream.opened.begin(), stream.opened.end(), [&](const StageAddress &other) {
+        const bool isNew = std::none_of(stream.openedStages.begin(), stream.openedStages.end(), [&](const StageAddress &other) {
             return other.target == stage.target;
         });
         if (isNew) {
-            stream.opened.push_back(stage);
+            stream.openedStages.push_back(stage);
             targets.noteOpened(stage.target);
         }
     }
@@ -195,7 +195,7 @@
 }
 
 /// Leaves the stream to a later try, on the chain that is set if there is one.
-void Streams::Private::wait(OpenStream &stream)
+void Streams::Private::markWaiting(OpenStream &stream)
 {
     if (stream.waitingSince == TimePoint{}) {
         stream.waitingSince = context.clock.now();
@@ -203,39 +203,39 @@
 }
 
 /// Starts a new attempt on the chain that is set, or on a new one; waits if there is none or the budget is spent.
-void Streams::Private::renew(OpenStream &stream, const Error &error)
+void Streams::Private::tryNextAttempt(OpenStream &stream, const Error &error)
 {
     if (stream.attempt.value >= maxAttempts) {
         return fail(stream, error);
     }
-    if (stream.isSuspect && guard.judge(stream.request.fingerprint, stream.request.allowedInputs) == InputStatus::Quarantined) {
-        return refuseConvicted(stream, error);
+    if (stream.isSuspect && guard.classify(stream.request.fingerprint, stream.request.allowedInputs) == InputStatus::Quarantined) {
+        return refuseQuarantined(stream, error);
     }
-    const bool hasChain = !stream.chain.empty() || chooseStages(stream);
+    const bool hasChain = !stream.chain.empty() || selectStages(stream);
     const bool isFirst = stream.attempt == Attempt{};
-    const bool isTooEarly = context.clock.now() < stream.notBefore;
-    if (!hasChain || isTooEarly || (!isFirst && !tryConsumeRetry(context.retries))) {
-        return wait(stream);
+    const bool isTooEarly = context.clock.now() < stream.retryNotBefore;
+    if (!hasChain || isTooEarly || (!isFirst && !tryConsumeRetry(context.retryBudget))) {
+        return markWaiting(stream);
     }
     if (!isFirst) {
-        ++replaced;
+        ++stagesReplaced;
     }
     startAttempt(stream);
 }
 
-void Streams::Private::replaceStage(OpenStream &stream, std::uint32_t stageIndex, const Error &error, bool isTargetsFault)
+void Streams::Private::replaceStage(OpenStream &stream, std::uint32_t stageIndex, const Error &error, bool isTargetFault)
 {
     if (stageIndex >= stream.chain.size()) {
         return;
     }
     const StageAddress lost = stream.chain[stageIndex];
-    stream.idleQueries = 0;
-    stream.excluded.insert(lost.target);
-    if (isTargetsFault) {
+    stream.inconclusiveQueries = 0;
+    stream.excludedTargets.insert(lost.target);
+    if (isTargetFault) {
         targets.noteFailure(lost.target);
     }
     if (stream.failedAt == TimePoint{}) {
-        stream.failedAt = stream.progressAt;
+        stream.failedAt = stream.lastProgressAt;
     }
     logEvent(Event::StageReplaced, {{"request", stream.request.id.value},
                                     {"attempt", std::to_string(stream.attempt.value)},
@@ -246,13 +246,13 @@
                                     {"reason", error.text}});
     const std::vector<const TargetView *> views = targets.views();
     const std::size_t index =
-        selectReplacement(views, stream.request.need, lost.layerBegin, lost.layerEnd, chainOptions(stream), context.clock.now(), context.random);
+        selectReplacement(views, stream.request.requirements, lost.layerBegin, lost.layerEnd, chainOptions(stream), context.clock.now(), context.random);
     if (index < views.size()) {
-        stream.chain[stageIndex] = toStage(*views[index]);
+        stream.chain[stageIndex] = toStageAddress(*views[index]);
     } else {
         stream.chain.clear();
     }
-    renew(stream, error);
+    tryNextAttempt(stream, error);
 }
 
 // [SECTION] Ends
@@ -268,22 +268,22 @@
 
 void Streams::Private::closeStages(const OpenStream &stream)
 {
-    for (const StageAddress &stage : stream.opened) {
+    for (const StageAddress &stage : stream.openedStages) {
         closeStage(stream, stage);
     }
 }
 
 /// Tells stages that the chain has left to free the stream: they may be well, and hold KV cache for it.
-void Streams::Private::closeLeftStages(OpenStream &stream)
+void Streams::Private::closeRemovedStages(OpenStream &stream)
 {
-    std::erase_if(stream.opened, [&](const StageAddress &stage) {
-        const bool isStillThere = std::any_of(stream.chain.begin(), stream.chain.end(), [&stage](const StageAddress &other) {
+    std::erase_if(stream.openedStages, [&](const StageAddress &stage) {
+        const bool isInChain = std::any_of(stream.chain.begin(), stream.chain.end(), [&stage](const StageAddress &other) {
             return other.target == stage.target;
         });
-        if (!isStillThere) {
+        if (!isInChain) {
             closeStage(stream, stage);
         }
-        return !isStillThere;
+        return !isInChain;
     });
 }
 
@@ -318,7 +318,7 @@
 
 // [SECTION] Frames
 
-void Streams::Private::takeToken(const TokenFrame &frame)
+void Streams::Private::handleToken(const TokenFrame &frame)
 {
     OpenStream *stream = find(frame.request);
     const bool isNext = stream && frame.attempt == stream->attempt && frame.index == stream->emitted.size();
@@ -328,23 +328,23 @@
         return;
     }
     const TimePoint now = context.clock.now();
-    const double gap = secondsBetween(stream->emitted.empty() ? stream->openedAt : stream->progressAt, now);
-    ModelTimes &modelTimes = times[stream->request.need.model];
+    const double seconds = secondsBetween(stream->emitted.empty() ? stream->openedAt : stream->lastProgressAt, now);
+    ModelTimes &modelTimes = timesByModel[stream->request.requirements.model];
     if (stream->failedAt != TimePoint{}) {
         recovery.record(secondsBetween(stream->failedAt, now));
         stream->failedAt = {};
     } else {
-        recordTime(stream->emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens, gap);
+        recordTime(stream->emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens, seconds);
     }
-    (stream->emitted.empty() ? firstToken : betweenTokens).record(gap);
+    (stream->emitted.empty() ? firstToken : betweenTokens).record(seconds);
     if (stream->isSuspect) {
         stream->isSuspect = false;
-        guard.notePass(stream->request.fingerprint);
+        guard.clearInput(stream->request.fingerprint);
     }
     stream->emitted.push_back(frame.token);
-    stream->progressAt = now;
-    stream->idleQueries = 0;
-    stream->hasQuery = false;
+    stream->lastProgressAt = now;
+    stream->inconclusiveQueries = 0;
+    stream->isQueryPending = false;
     ++tokensEmitted;
     if (context.history.isOn()) {
         context.history.record("token", {{"request", frame.request.value},
@@ -362,55 +362,55 @@
 }
 
 /// An engine died with the stream in flight. Returns false if the stream was ended because its input is convicted.
-bool Streams::Private::noteDeath(OpenStream &stream, const StageFailed &frame)
+bool Streams::Private::recordEngineCrash(OpenStream &stream, const StageFailed &frame)
 {
     const StreamRequest &request = stream.request;
     // A second death under an attempt that did not run alone yet says nothing new: a stream is in flight at several
     // stages, and two of their engines may die together of something else.
-    const bool saysNothingNew = stream.isSuspect && !stream.isAttemptSuspect;
-    if (saysNothingNew) {
+    const bool isInconclusive = stream.isSuspect && !stream.isAttemptSuspect;
+    if (isInconclusive) {
         return true;
     }
-    guard.noteDeath(request.fingerprint, frame.crash, request.service, request.workspace, request.id);
+    guard.recordEngineCrash(request.fingerprint, frame.crash, request.service, request.workspace, request.id);
     stream.isSuspect = true;
-    stream.notBefore = context.clock.now() + suspectPause;
+    stream.retryNotBefore = context.clock.now() + suspectRetryDelay;
     if (!suspectTimer.isRunning()) {
-        suspectTimer.start(suspectPause + milliseconds(1));
+        suspectTimer.start(suspectRetryDelay + milliseconds(1));
     }
-    if (guard.judge(request.fingerprint, request.allowedInputs) != InputStatus::Quarantined) {
+    if (guard.classify(request.fingerprint, request.allowedInputs) != InputStatus::Quarantined) {
         return true;
     }
     if (frame.stageIndex < stream.chain.size()) {
         targets.noteFailure(stream.chain[frame.stageIndex].target);
     }
-    refuseConvicted(stream, {frame.step, frame.peer, ""});
+    refuseQuarantined(stream, {frame.step, frame.peer, ""});
     return false;
 }
 
-void Streams::Private::refuseConvicted(OpenStream &stream, const Error &error)
+void Streams::Private::refuseQuarantined(OpenStream &stream, const Error &error)
 {
     StreamFailure failure;
-    failure.isConvicted = true;
+    failure.isQuarantined = true;
     fail(stream, {error.step, error.peer, "the input was in flight at two separate deaths of engines"}, failure);
 }
 
-void Streams::Private::takeFailure(const StageFailed &frame)
+void Streams::Private::handleStageFailure(const StageFailed &frame)
 {
     OpenStream *stream = find(frame.request);
     if (!stream || frame.attempt != stream->attempt) {
         return;
     }
-    if (frame.crash != 0 && !noteDeath(*stream, frame)) {
+    if (frame.crash != 0 && !recordEngineCrash(*stream, frame)) {
         return;
     }
-    const bool isTargetsFault = frame.kind == FailureKind::TargetLost || frame.kind == FailureKind::TargetTimeout || frame.kind == FailureKind::NextStageLost;
-    replaceStage(*stream, frame.stageIndex, {frame.step, frame.peer, toString(frame.kind)}, isTargetsFault);
+    const bool isTargetFault = frame.kind == FailureKind::TargetLost || frame.kind == FailureKind::TargetTimeout || frame.kind == FailureKind::NextStageLost;
+    replaceStage(*stream, frame.stageIndex, {frame.step, frame.peer, toString(frame.kind)}, isTargetFault);
 }
 
-void Streams::Private::takeReport(const StageReport &frame)
+void Streams::Private::handleReport(const StageReport &frame)
 {
     OpenStream *stream = find(frame.request);
-    const bool isExpected = stream && stream->hasQuery && frame.stageIndex < stream->reports.size();
+    const bool isExpected = stream && stream->isQueryPending && frame.stageIndex < stream->reports.size();
     if (!isExpected) {
         return;
     }
@@ -424,7 +424,7 @@
         return report.has_value();
     });
     if (isComplete) {
-        judge(*stream);
+        resolveStall(*stream);
     }
 }
 
@@ -432,82 +432,83 @@
 
 milliseconds Streams::Private::progressTimeout(const OpenStream &stream)
 {
-    const ModelTimes &modelTimes = times[stream.request.need.model];
+    const ModelTimes &modelTimes = timesByModel[stream.request.requirements.model];
     const TimeEstimate &estimate = stream.emitted.empty() ? modelTimes.firstToken : modelTimes.betweenTokens;
     const milliseconds shortest = context.settings.progressTimeout;
-    return adaptiveTimeout(estimate, shortest, std::max(shortest, longestProgressTimeout));
+    return adaptiveTimeout(estimate, shortest, std::max(shortest, maxProgressTimeout));
 }
 
 void Streams::Private::checkProgress(OpenStream &stream, TimePoint now)
 {
-    if (stream.hasQuery) {
-        if (isAnswerOverdue(stream, now)) {
-            judge(stream);
+    if (stream.isQueryPending) {
+        if (isReportOverdue(stream, now)) {
+            resolveStall(stream);
         }
         return;
     }
     const milliseconds timeout = progressTimeout(stream);
-    if (now - stream.progressAt < timeout) {
+    if (now - stream.lastProgressAt < timeout) {
         return;
     }
-    askStages(stream, now);
+    queryStages(stream, now);
 }
 
 /// Whether a stage that has not answered is to be taken as gone. One that is still heard is only slow to answer, as is this
 /// process if it is slow to read: replaced for that, all stages of a busy system would be, one after the other.
-bool Streams::Private::isAnswerOverdue(const OpenStream &stream, TimePoint now) const
+bool Streams::Private::isReportOverdue(const OpenStream &stream, TimePoint now) const
 {
-    const auto waited = now - stream.askedAt;
+    const auto waited = now - stream.queriedAt;
     if (waited < context.settings.progressTimeout / 2) {
         return false;
     }
-    bool isSilent = false;
+    bool isUnreachable = false;
     for (std::size_t i = 0; i < stream.reports.size(); ++i) {
-        isSilent = isSilent || (!stream.reports[i] && targets.isOverdue(stream.chain[i].target));
+        isUnreachable = isUnreachable || (!stream.reports[i] && targets.isOverdue(stream.chain[i].target));
     }
-    return isSilent || waited >= longestProgressTimeout;
+    return isUnreachable || waited >= maxProgressTimeout;
 }
 
-void Streams::Private::askStages(OpenStream &stream, TimePoint now)
+void Streams::Private::queryStages(OpenStream &stream, TimePoint now)
 {
-    stream.hasQuery = true;
-    stream.askedAt = now;
+    stream.isQueryPending = true;
+    stream.queriedAt = now;
     stream.reports.assign(stream.chain.size(), std::nullopt);
     for (std::uint32_t i = 0; i < stream.chain.size(); ++i) {
         context.links.link(addressOf(stream.chain[i]))->send(StageQuery{stream.request.id, stream.attempt, i});
     }
 }
 
-void Streams::Private::judge(OpenStream &stream)
+void Streams::Private::resolveStall(OpenStream &stream)
 {
-    stream.hasQuery = false;
-    const StallDecision verdict = decideStallAction(stream.reports, stream.idleQueries);
-    if (verdict.action == StallAction::Replace) {
-        const std::string peer = stream.chain[verdict.diagnosis.stage].target.value;
-        return replaceStage(stream, verdict.diagnosis.stage, {"wait for token", peer, std::string("no progress: ") + toString(verdict.diagnosis.fault)}, true);
+    stream.isQueryPending = false;
+    const StallDecision decision = decideStallAction(stream.reports, stream.inconclusiveQueries);
+    if (decision.action == StallAction::Replace) {
+        const std::string peer = stream.chain[decision.diagnosis.stage].target.value;
+        return replaceStage(stream, decision.diagnosis.stage, {"wait for token", peer, std::string("no progress: ") + toString(decision.diagnosis.fault)},
+                            true);
     }
-    stream.progressAt = context.clock.now();
-    if (verdict.action == StallAction::Renew) {
-        renew(stream, {"wait for token", "", "no stage is at fault"});
+    stream.lastProgressAt = context.clock.now();
+    if (decision.action == StallAction::Renew) {
+        tryNextAttempt(stream, {"wait for token", "", "no stage is at fault"});
     }
 }
 
 /// Replaces the matching stage of every stream that has one.
-void Streams::Private::replaceWhere(const std::function<bool(const StageAddress &)> &matches, const Error &error, bool isTargetsFault)
+void Streams::Private::replaceMatchingStages(const std::function<bool(const StageAddress &)> &matches, const Error &error, bool isTargetFault)
 {
-    std::vector<RequestId> users;
+    std::vector<RequestId> affected;
     for (const auto &[request, stream] : streams) {
         if (std::any_of(stream.chain.begin(), stream.chain.end(), matches)) {
-            users.push_back(request);
+            affected.push_back(request);
         }
     }
-    for (const RequestId &request : users) {
+    for (const RequestId &request : affected) {
         OpenStream *stream = find(request);
         if (!stream) {
             continue;
         }
         const auto stage = std::find_if(stream->chain.begin(), stream->chain.end(), matches);
-        replaceStage(*stream, static_cast<std::uint32_t>(stage - stream->chain.begin()), error, isTargetsFault);
+        replaceStage(*stream, static_cast<std::uint32_t>(stage - stream->chain.begin()), error, isTargetFault);
     }
 }
 
@@ -527,9 +528,9 @@
     stream.request = std::move(request);
     stream.handlers = std::make_shared<const StreamHandlers>(std::move(handlers));
     stream.openedAt = d->context.clock.now();
-    stream.progressAt = stream.openedAt;
-    recordRequest(d->context.retries);
-    d->renew(stream, {});
+    stream.lastProgressAt = stream.openedAt;
+    recordRequest(d->context.retryBudget);
+    d->tryNextAttempt(stream, {});
 }
 
 void Streams::cancel(const RequestId &request)
@@ -540,45 +541,45 @@
     }
 }
 
-bool Streams::takeFrame(const Frame &frame)
+bool Streams::handleFrame(const Frame &frame)
 {
     switch (frame.message) {
     case TokenFrame::messageId:
         return decodeAnd<TokenFrame>(frame, [&](const TokenFrame &message) {
-            d->takeToken(message);
+            d->handleToken(message);
         });
     case StageFailed::messageId:
         return decodeAnd<StageFailed>(frame, [&](const StageFailed &message) {
-            d->takeFailure(message);
+            d->handleStageFailure(message);
         });
     case StageReport::messageId:
         return decodeAnd<StageReport>(frame, [&](const StageReport &message) {
-            d->takeReport(message);
+            d->handleReport(message);
         });
     default:
         return false;
     }
 }
 
-void Streams::linkGone(const std::string &address, const Error &error)
+void Streams::handleLinkLost(const std::string &address, const Error &error)
 {
-    d->replaceWhere(
+    d->replaceMatchingStages(
         [&address](const StageAddress &stage) {
             return addressOf(stage).toString() == address;
         },
         error, true);
 }
 
-void Streams::targetGone(const TargetId &target)
+void Streams::handleTargetLost(const TargetId &target)
 {
-    d->replaceWhere(
+    d->replaceMatchingStages(
         [&target](const StageAddress &stage) {
             return stage.target == target;
         },
         {"hear from target", target.value, "silent or restarted"}, false);
 }
 
-void Streams::targetsChanged()
+void Streams::handleTargetsChanged()
 {
     d->retryWaiting();
 }
@@ -597,23 +598,23 @@
         if (!stream) {
             continue;
         }
-        if (now - stream->waitingSince >= exclusionLife) {
-            stream->excluded.clear();
+        if (now - stream->waitingSince >= exclusionLifetime) {
+            stream->excludedTargets.clear();
         }
-        renew(*stream, {"choose chain", "", "no target holds the layers"});
+        tryNextAttempt(*stream, {"choose chain", "", "no target holds the layers"});
     }
 }
 
 void Streams::tick()
 {
     const TimePoint now = d->context.clock.now();
-    RetryBudget &budget = d->context.retries;
+    RetryBudget &budget = d->context.retryBudget;
     budget.burst = std::max(20.0, static_cast<double>(d->streams.size()));
     if (d->refilledAt != TimePoint{}) {
         budget.available = std::min(budget.burst, budget.available + budget.burst * retryRefillPerSecond * secondsBetween(d->refilledAt, now));
     }
     d->refilledAt = now;
-    targetsChanged();
+    handleTargetsChanged();
     std::vector<RequestId> requests;
     for (const auto &[request, stream] : d->streams) {
         requests.push_back(request);
@@ -624,12 +625,12 @@
             continue;
         }
         if (now - stream->openedAt >= stream->request.deadline) {
-            StreamFailure late;
-            late.isTimeout = true;
-            d->fail(*stream, {"answer in time", "", "the deadline passed"}, late);
+            StreamFailure timedOut;
+            timedOut.isTimeout = true;
+            d->fail(*stream, {"answer in time", "", "the deadline passed"}, timedOut);
         } else if (stream->waitingSince == TimePoint{}) {
             d->checkProgress(*stream, now);
-        } else if (now - stream->waitingSince >= (stream->emitted.empty() ? longestWaitToBegin : longestWaitForTarget)) {
+        } else if (now - stream->waitingSince >= (stream->emitted.empty() ? maxWaitBeforeFirstToken : maxWaitAfterFirstToken)) {
             d->fail(*stream, {"choose chain", "", "no targets hold all layers of the model"});
         }
     }
@@ -650,7 +651,7 @@
             chain.push_back(stage.target.value);
         }
         list.push_back({{"request", request.value},
-                        {"model", stream.request.need.model.value},
+                        {"model", stream.request.requirements.model.value},
                         {"attempt", stream.attempt.value},
                         {"chain", chain},
                         {"emitted", stream.emitted.size()},
--- a/src/entry/streams.h
+++ b/src/entry/streams.h
@@ -17,7 +17,7 @@
 /// A request to a pipeline.
 struct StreamRequest {
     RequestId id;                           ///< unique in the system
-    ModelRequirements need;                 ///< model, version, adapter
+    ModelRequirements requirements;         ///< model, version, adapter
     std::string prompt;                     ///< text
     std::uint32_t maxTokens = 1;            ///< tokens to generate at most
     std::uint32_t priority = 0;             ///< 0 is lowest
@@ -33,7 +33,7 @@
     Error error;                       ///< step and peer
     Outcome outcome = Outcome::NotRun; ///< NotRun only if no stage was ever opened
     bool isTimeout = false;            ///< the deadline passed
-    bool isConvicted = false;          ///< the input kills engines
+    bool isQuarantined = false;        ///< the input kills engines
 };
 
 /// Callbacks of a stream. The last call is onEnd or onFail, once.
@@ -56,13 +56,13 @@
     void cancel(const RequestId &request);
 
     /// Takes a frame that belongs to streams; false if it is malformed.
-    bool takeFrame(const Frame &frame);
+    bool handleFrame(const Frame &frame);
     /// The link to an address is gone.
-    void linkGone(const std::string &address, const Error &error);
+    void handleLinkLost(const std::string &address, const Error &error);
     /// A target can't be relied on any more.
-    void targetGone(const TargetId &target);
+    void handleTargetLost(const TargetId &target);
     /// Streams that wait for a target try again.
-    void targetsChanged();
+    void handleTargetsChanged();
     /// Looks for streams that stand still or are late. Called every few tens of milliseconds.
     void tick();
 
@@ -75,9 +75,9 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr milliseconds suspectPause{20};            ///< before a suspect's next attempt, so that other entries have heard of it
-constexpr std::uint32_t maxAttempts = 16;           ///< of one stream
-constexpr milliseconds longestWaitToBegin{1000};    ///< a stream without a token that finds no chain for this long fails
-constexpr milliseconds longestWaitForTarget{10000}; ///< a stream that the caller has part of fails after this long without a chain
+constexpr milliseconds suspectRetryDelay{20};         ///< before a suspect's next attempt, so that other entries have heard of it
+constexpr std::uint32_t maxAttempts = 16;             ///< of one stream
+constexpr milliseconds maxWaitBeforeFirstToken{1000}; ///< a stream without a token that finds no chain for this long fails
+constexpr milliseconds maxWaitAfterFirstToken{10000}; ///< a stream that the caller has part of fails after this long without a chain
 
 } // namespace Parsleytrail
