--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -20,7 +20,7 @@
 constexpr int actionsInRun = 50;
 
 /// A question on its way.
-struct OpenQuestion {
+struct OpenCompletion {
     std::string prompt;
     std::uint32_t maxTokens = 0;
     AnswerPtr answer;
@@ -50,34 +50,34 @@
     {
         return m_answered;
     }
-    int asked() const
+    int requested() const
     {
-        return m_asked;
+        return m_requested;
     }
 
 private:
     static ClusterOptions options();
     std::size_t pick(std::size_t count);
-    void act();
-    void ask();
+    void performAction();
+    void requestCompletion();
     void book();
     void sendBooking(OpenBooking &booking);
-    void breakSomething();
-    void heal();
-    void collect();
-    std::size_t livingEntry();
-    void note(const json &event);
+    void injectFault();
+    void restoreAll();
+    void collectResults();
+    std::size_t pickRunningEntry();
+    void recordEvent(const json &event);
 
     Cluster m_cluster;
     std::mt19937_64 m_random;
-    std::vector<OpenQuestion> m_questions;
+    std::vector<OpenCompletion> m_completions;
     std::vector<OpenBooking> m_bookings;
-    std::vector<std::size_t> m_deadSidecars;
+    std::vector<std::size_t> m_stoppedSidecars;
     std::vector<std::size_t> m_hangingEngines;
-    int m_asked = 0;
+    int m_requested = 0;
     int m_answered = 0;
     int m_bookingCount = 0;
-    int m_files = 0;
+    int m_configurationCount = 0;
 };
 
 ClusterOptions FaultRun::options()
@@ -107,24 +107,24 @@
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
 }
 
-void FaultRun::note(const json &event)
+void FaultRun::recordEvent(const json &event)
 {
     m_cluster.history.push_back(event.dump());
 }
 
-std::size_t FaultRun::livingEntry()
+std::size_t FaultRun::pickRunningEntry()
 {
-    const std::size_t wanted = pick(2);
-    return m_cluster.entries[wanted] ? wanted : 1 - wanted;
+    const std::size_t preferred = pick(2);
+    return m_cluster.entries[preferred] ? preferred : 1 - preferred;
 }
 
-void FaultRun::ask()
+void FaultRun::requestCompletion()
 {
-    OpenQuestion question;
-    question.prompt = "question " + std::to_string(m_asked++);
-    question.maxTokens = static_cast<std::uint32_t>(5 + pick(60));
-    question.answer = m_cluster.ask(question.prompt, question.maxTokens, livingEntry());
-    m_questions.push_back(std::move(question));
+    OpenCompletion completion;
+    completion.prompt = "question " + std::to_string(m_requested++);
+    completion.maxTokens = static_cast<std::uint32_t>(5 + pick(60));
+    completion.answer = m_cluster.ask(completion.prompt, completion.maxTokens, pickRunningEntry());
+    m_completions.push_back(std::move(completion));
 }
 
 void FaultRun::sendBooking(OpenBooking &booking)
@@ -134,7 +134,7 @@
         headers.push_back({"Idempotency-Key", booking.reference});
     }
     --booking.sendsLeft;
-    booking.result = m_cluster.begin(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), livingEntry());
+    booking.result = m_cluster.begin(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), pickRunningEntry());
 }
 
 void FaultRun::book()
@@ -147,7 +147,7 @@
     m_bookings.push_back(std::move(booking));
 }
 
-void FaultRun::breakSomething()
+void FaultRun::injectFault()
 {
 
     auto &platform = m_cluster.platform.faults();
@@ -159,11 +159,11 @@
         m_hangingEngines.push_back(engine);
         return m_cluster.engines[engine]->setHanging(true);
     case 2:
-        m_deadSidecars.push_back(engine);
+        m_stoppedSidecars.push_back(engine);
         return m_cluster.killSidecar(engine);
     case 3: {
         const std::size_t sidecar = m_cluster.engines.size() + pick(2);
-        m_deadSidecars.push_back(sidecar);
+        m_stoppedSidecars.push_back(sidecar);
         return m_cluster.killSidecar(sidecar);
     }
     case 4:
@@ -185,14 +185,15 @@
     default:
         if (m_cluster.sidecars[engine]) {
             const std::string id = json::parse(m_cluster.sidecars[engine]->state())["id"];
-            note({{"event", "left"}, {"target", id}, {"at", std::chrono::duration_cast<microseconds>(m_cluster.clock.now().time_since_epoch()).count()}});
+            recordEvent(
+                {{"event", "left"}, {"target", id}, {"at", std::chrono::duration_cast<microseconds>(m_cluster.clock.now().time_since_epoch()).count()}});
             m_cluster.sidecars[engine]->drain([] {});
-            m_deadSidecars.push_back(engine);
+            m_stoppedSidecars.push_back(engine);
         }
     }
 }
 
-void FaultRun::heal()
+void FaultRun::restoreAll()
 {
     m_cluster.platform.faults() = {};
     for (const std::size_t engine : m_hangingEngines) {
@@ -204,12 +205,12 @@
             m_cluster.restartEngine(i);
         }
     }
-    for (const std::size_t sidecar : m_deadSidecars) {
+    for (const std::size_t sidecar : m_stoppedSidecars) {
         m_cluster.killSidecar(sidecar);
         m_cluster.startSidecar(sidecar);
-        note({{"event", "started"}, {"process", json::parse(m_cluster.sidecars[sidecar]->state())["id"]}});
+        recordEvent({{"event", "started"}, {"process", json::parse(m_cluster.sidecars[sidecar]->state())["id"]}});
     }
-    m_deadSidecars.clear();
+    m_stoppedSidecars.clear();
     for (const auto &application : m_cluster.applications) {
         application->setCrash(StandIn::ApplicationCrash::None);
     }
@@ -220,21 +221,21 @@
     }
 }
 
-void FaultRun::collect()
+void FaultRun::collectResults()
 {
-    for (auto question = m_questions.begin(); question != m_questions.end();) {
-        if (!question->answer->isOver) {
-            ++question;
+    for (auto completion = m_completions.begin(); completion != m_completions.end();) {
+        if (!completion->answer->isOver) {
+            ++completion;
             continue;
         }
-        if (question->answer->hasDone) {
+        if (completion->answer->hasDone) {
             ++m_answered;
-            note({{"event", "caller-answer"},
-                  {"request", question->prompt},
-                  {"text", question->answer->text},
-                  {"expected", m_cluster.expected(question->prompt, question->maxTokens)}});
+            recordEvent({{"event", "caller-answer"},
+                         {"request", completion->prompt},
+                         {"text", completion->answer->text},
+                         {"expected", m_cluster.expected(completion->prompt, completion->maxTokens)}});
         }
-        question = m_questions.erase(question);
+        completion = m_completions.erase(completion);
     }
     for (auto booking = m_bookings.begin(); booking != m_bookings.end();) {
         if (!booking->result->has_value()) {
@@ -243,7 +244,7 @@
         }
         const HttpResult result = **booking->result;
         if (!result.failure) {
-            note({{"event", "caller-outcome"}, {"reference", booking->reference}, {"outcome", findHeader(result.headers, "parsley-outcome")}});
+            recordEvent({{"event", "caller-outcome"}, {"reference", booking->reference}, {"outcome", findHeader(result.headers, "parsley-outcome")}});
         }
         const bool isAnswered = !result.failure && result.status == 201;
         if (!isAnswered && booking->sendsLeft > 0) {
@@ -255,20 +256,20 @@
     }
 }
 
-void FaultRun::act()
+void FaultRun::performAction()
 {
     const std::size_t choice = pick(20);
     if (choice < 9) {
-        ask();
+        requestCompletion();
     } else if (choice < 14) {
         book();
     } else if (choice < 18) {
-        breakSomething();
+        injectFault();
     } else if (choice < 19) {
-        heal();
+        restoreAll();
     } else {
-        const std::size_t entry = livingEntry();
-        const std::string extra = "[target-class.c" + std::to_string(m_files++) + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n";
+        const std::size_t entry = pickRunningEntry();
+        const std::string extra = "[target-class.c" + std::to_string(m_configurationCount++) + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n";
         HttpClientRequest request;
         request.method = "PUT";
         request.path = "/operator/v1/configuration";
@@ -281,26 +282,26 @@
 std::vector<Violation> FaultRun::run()
 {
     for (int i = 0; i < actionsInRun; ++i) {
-        act();
+        performAction();
         m_cluster.idle(milliseconds(5 + static_cast<int>(pick(40))));
-        collect();
+        collectResults();
     }
-    heal();
+    restoreAll();
     m_cluster.wait("all questions and bookings to end", [&] {
-        collect();
-        return m_questions.empty() && m_bookings.empty();
+        collectResults();
+        return m_completions.empty() && m_bookings.empty();
     });
     m_cluster.recordStandIns();
     return checkHistory(m_cluster.history);
 }
 
-std::pair<std::uint64_t, std::uint64_t> wantedSeeds()
+std::pair<std::uint64_t, std::uint64_t> seedRange()
 {
-    const char *wanted = std::getenv("PARSLEY_FAULT_SEEDS");
+    const char *range = std::getenv("PARSLEY_FAULT_SEEDS");
     std::uint64_t from = 1;
     std::uint64_t to = 10;
-    if (wanted) {
-        std::sscanf(wanted, "%lu-%lu", &from, &to);
+    if (range) {
+        std::sscanf(range, "%lu-%lu", &from, &to);
     }
     return {from, to};
 }
@@ -312,14 +313,14 @@
 BOOST_AUTO_TEST_CASE(no_promise_is_broken_under_random_faults)
 {
     // Questions and bookings go on while engines, sidecars, entries, the application and the platform fail and come back.
-    const auto [from, to] = wantedSeeds();
+    const auto [from, to] = seedRange();
     for (std::uint64_t seed = from; seed <= to; ++seed) {
         FaultRun run(seed);
         const std::vector<Violation> violations = run.run();
         for (const Violation &violation : violations) {
             BOOST_ERROR("seed " << seed << ": " << toString(violation.promise) << ": " << violation.text << ": " << violation.event);
         }
-        BOOST_TEST_MESSAGE("seed " << seed << ": " << run.answered() << " of " << run.asked() << " answered, " << violations.size() << " violations");
+        BOOST_TEST_MESSAGE("seed " << seed << ": " << run.answered() << " of " << run.requested() << " answered, " << violations.size() << " violations");
         BOOST_TEST(run.answered() > 0);
     }
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -18,7 +18,7 @@
 {
 
 constexpr std::uint32_t answerTokens = 40;
-const std::string question = "how do I rinse a drum";
+const std::string prompt = "how do I rinse a drum";
 
 /// Engines slow enough that an answer is still on its way when the test acts. Only tests of standing still shorten the time
 /// after which a stream counts as such: a machine that is busy for a moment must not change what the others assert.
@@ -36,9 +36,9 @@
 }
 
 /// Asks, waits until some tokens are out, and returns the engine that carries `stage`.
-std::size_t askAndFind(Cluster &cluster, AnswerPtr &answer, std::size_t stage, std::uint32_t afterTokens = 10)
+std::size_t startAndFindEngine(Cluster &cluster, AnswerPtr &answer, std::size_t stage, std::uint32_t afterTokens = 10)
 {
-    answer = cluster.ask(question, answerTokens);
+    answer = cluster.ask(prompt, answerTokens);
     cluster.wait("the first tokens", [&] {
         return answer->events >= afterTokens || answer->isOver;
     });
@@ -54,11 +54,11 @@
         return answer->isOver;
     });
     BOOST_TEST(answer->hasDone);
-    BOOST_TEST(answer->text == cluster.expected(question, answerTokens));
+    BOOST_TEST(answer->text == cluster.expected(prompt, answerTokens));
 }
 
 /// Positions that an engine applied for any stream.
-std::uint64_t applied(const Cluster &cluster, std::size_t engine)
+std::uint64_t appliedPositions(const Cluster &cluster, std::size_t engine)
 {
     return cluster.engines[engine]->positionsApplied();
 }
@@ -74,7 +74,7 @@
     // kept results again, so that only the failed range is computed a second time.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
-    const std::size_t engine = askAndFind(cluster, answer, static_cast<std::size_t>(stage));
+    const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
     std::vector<std::size_t> survivors;
     for (std::size_t other = 0; other < 3; ++other) {
         if (other != static_cast<std::size_t>(stage)) {
@@ -85,7 +85,7 @@
     checkAnswer(cluster, answer);
     const std::uint64_t positions = 7 + 1 + answerTokens - 1; // prompt of 8 tokens; the last token is not applied
     for (const std::size_t survivor : survivors) {
-        BOOST_TEST(applied(cluster, survivor) == positions);
+        BOOST_TEST(appliedPositions(cluster, survivor) == positions);
     }
 }
 
@@ -95,7 +95,7 @@
     // progress-timeout, asks all stages how far they are, and blames the one with inputs that it has not applied.
     Cluster cluster(slowEngines(milliseconds(300)));
     AnswerPtr answer;
-    const std::size_t engine = askAndFind(cluster, answer, static_cast<std::size_t>(stage));
+    const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
     cluster.engines[engine]->setHanging(true);
     checkAnswer(cluster, answer);
 }
@@ -111,7 +111,7 @@
     };
     Cluster cluster(options);
     AnswerPtr answer;
-    askAndFind(cluster, answer, 0);
+    startAndFindEngine(cluster, answer, 0);
     std::this_thread::sleep_for(milliseconds(1500));
     checkAnswer(cluster, answer);
     const std::string metrics = cluster.operate("GET", "/operator/v1/metrics").body;
@@ -147,7 +147,7 @@
     // The sidecar of one stage is killed: the entry and its neighbours see their links break.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
-    const std::size_t engine = askAndFind(cluster, answer, static_cast<std::size_t>(stage));
+    const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
     cluster.killSidecar(engine);
     checkAnswer(cluster, answer);
 }
@@ -158,7 +158,7 @@
     // the older one that still arrive are dropped.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
-    const std::size_t first = askAndFind(cluster, answer, 0);
+    const std::size_t first = startAndFindEngine(cluster, answer, 0);
     const std::size_t last = cluster.engineOfStage(2);
     cluster.engines[first]->die();
     cluster.idle(milliseconds(2));
@@ -174,7 +174,7 @@
     options.holders = 1;
     Cluster cluster(options);
     AnswerPtr answer;
-    const std::size_t engine = askAndFind(cluster, answer, 1);
+    const std::size_t engine = startAndFindEngine(cluster, answer, 1);
     cluster.killSidecar(engine);
     cluster.idle(milliseconds(200));
     cluster.startSidecar(engine);
@@ -191,7 +191,7 @@
     };
     Cluster cluster(options);
     AnswerPtr answer;
-    const std::size_t engine = askAndFind(cluster, answer, 2);
+    const std::size_t engine = startAndFindEngine(cluster, answer, 2);
     cluster.engines[engine]->die();
     checkAnswer(cluster, answer);
 }
@@ -206,7 +206,7 @@
     };
     Cluster cluster(options);
     AnswerPtr answer;
-    askAndFind(cluster, answer, 0);
+    startAndFindEngine(cluster, answer, 0);
     cluster.killEntry(0);
     cluster.wait("the caller's connection to break", [&] {
         return answer->isOver;
@@ -228,7 +228,7 @@
     // The caller closes its connection in the middle of an answer. The entry tells the stages, and the engines stop
     // long before the answer would have ended.
     Cluster cluster(slowEngines());
-    const AnswerPtr answer = cluster.ask(question, 4000);
+    const AnswerPtr answer = cluster.ask(prompt, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 3;
     });
@@ -266,7 +266,7 @@
     // The engine of a stage hangs; the stage is replaced, and its sidecar, which is well, is told at once and not only at
     // the end of the answer, so that its engine can use the memory when it comes back.
     Cluster cluster(slowEngines(milliseconds(300)));
-    AnswerPtr answer = cluster.ask(question, 4000);
+    AnswerPtr answer = cluster.ask(prompt, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 5;
     });
@@ -285,7 +285,7 @@
 {
     // Nothing is written to the caller before the end, so that only the reading side can tell that it has gone.
     Cluster cluster(slowEngines());
-    const nlohmann::json body = {{"model", "chat"}, {"max_tokens", 4000}, {"messages", {{{"role", "user"}, {"content", question}}}}};
+    const nlohmann::json body = {{"model", "chat"}, {"max_tokens", 4000}, {"messages", {{{"role", "user"}, {"content", prompt}}}}};
     HttpStreamHandlers handlers;
     const HttpCallPtr call = cluster.client.stream(cluster.entries[0]->callerAddress(), post("/v1/chat/completions", body.dump()), std::move(handlers));
     cluster.wait("the stream to run", [&] {
@@ -308,7 +308,7 @@
         const nlohmann::json status = nlohmann::json::parse(cluster.entries[0]->status());
         return status["coverage"]["assistant@v1"]["10-22"] == 0;
     });
-    const AnswerPtr answer = cluster.ask(question, 5);
+    const AnswerPtr answer = cluster.ask(prompt, 5);
     cluster.wait("the refusal", [&] {
         return answer->isOver;
     });
