--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -118,7 +118,7 @@
     BOOST_TEST(metrics.find("parsley_stages_replaced_total 0\n") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(a_sidecar_that_lost_a_stream_says_so)
+BOOST_AUTO_TEST_CASE(a_sidecar_reports_that_it_does_not_hold_a_stream)
 {
     // A sidecar that is well has freed a stream that its entry still has open. Asked how far it is, it names the attempt and
     // the stage asked about, and no attempt of its own, so that the entry replaces it without waiting for more.
@@ -261,7 +261,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(a_replaced_stage_is_told)
+BOOST_AUTO_TEST_CASE(a_replaced_stage_is_closed_at_once)
 {
     // The engine of a stage hangs; the stage is replaced, and its sidecar, which is well, is told at once and not only at
     // the end of the answer, so that its engine can use the memory when it comes back.
