--- a/src/entry/admission_queue.cpp
+++ b/src/entry/admission_queue.cpp
@@ -13,22 +13,22 @@
 namespace
 {
 
-/// What a waiting request calls.
+/// Callbacks of a waiting request; at most one of them is called.
 struct Callbacks {
     std::function<void()> start;
     std::function<void()> refuse;
 };
 
-/// Streams of one model.
+/// Running streams and waiting requests of one model.
 struct ModelQueue {
     AdmissionLimit limit;
     FairShareLedger shares;
     std::size_t running = 0;
-    std::vector<WaitingRequest> waiting; ///< parallel to callbacks
+    std::vector<WaitingRequest> waiting; ///< in the same order as `callbacks`
     std::vector<Callbacks> callbacks;
-    TimeEstimate firstToken; ///< from start to first token
+    TimeEstimate firstToken; ///< time from start to first token
 
-    /// Takes a waiting request out.
+    /// Removes a waiting request and returns its callbacks.
     Callbacks removeWaiting(std::size_t index)
     {
         Callbacks result = std::move(callbacks[index]);
@@ -86,7 +86,8 @@
         ++d->refused;
         return refuse();
     }
-    // By the mean alone, half of those that start last would have their first token too late.
+    // The mean plus a margin for deviation: with the mean alone, half of the requests that start at the last possible time would
+    // get their first token too late.
     const milliseconds expected =
         queue.firstToken.meanSeconds > 0 ? adaptiveTimeout(queue.firstToken, milliseconds(0), request.firstTokenDeadline) : milliseconds(0);
     request.waiting.arrivedAt = d->context.clock.now();
--- a/src/entry/caller_api.cpp
+++ b/src/entry/caller_api.cpp
@@ -29,7 +29,7 @@
     void routeService(const ExchangePtr &exchange, const Caller &caller, std::string_view path);
 };
 
-/// The caller's own id if it can be shown safely, or the request's.
+/// Value of X-Request-Id in the response: the caller's own id if it is safe to repeat, otherwise the generated one.
 static std::string publicRequestId(const HttpRequest &request, const RequestId &generated)
 {
     const std::string received = findHeader(request.headers, "X-Request-Id");
@@ -52,7 +52,7 @@
 {
     const std::string key = bearerToken(request.headers);
     const Configuration &active = configuration();
-    // Looked up by digest: how long the search takes tells nothing about the key.
+    // Keys are looked up by digest, so that the duration of the search reveals nothing about the key.
     const auto workspace = key.empty() ? active.workspaceByKeyDigest.end() : active.workspaceByKeyDigest.find(sha256Hex(key));
     if (workspace == active.workspaceByKeyDigest.end()) {
         return false;
@@ -108,7 +108,8 @@
     route(exchange, caller);
 }
 
-/// A refusal before the path is known: the fields of both kinds of error, so that any client finds its own.
+/// Body of a refusal before the path is known. It has the fields of both error formats, that of the completion protocol and
+/// that of plain services, so that every client finds the one it expects.
 static std::string earlyRefusal(int status, const std::string &text)
 {
     nlohmann::json body = nlohmann::json::parse(problemBody({status, "", text}));
--- a/src/entry/caller_api.h
+++ b/src/entry/caller_api.h
@@ -1,5 +1,5 @@
-// The callers' port: finds out who asks, gives the request an id, and hands it to the completion protocol or to the
-// plain services.
+// HTTP API on the callers' port: authenticates callers, assigns request ids, and routes requests to the completion protocol
+// or to the plain services.
 #pragma once
 
 #include "entry/completions.h"
@@ -10,11 +10,11 @@
 namespace Parsleytrail
 {
 
-/// Serves callers.
+/// HTTP server for callers.
 class CallerApi
 {
 public:
-    /// `isReady` tells whether requests are taken at all.
+    /// `configuration` returns the configuration in force. While `isReady` returns false, all requests are refused.
     CallerApi(EntryContext &context, Completions &completions, ServiceCalls &calls, std::function<const Configuration &()> configuration,
               std::function<bool()> isReady);
     ~CallerApi();
--- a/src/entry/completion_answer.cpp
+++ b/src/entry/completion_answer.cpp
@@ -7,7 +7,8 @@
 
 using nlohmann::json;
 
-/// Text of tokens is whatever the engine gives; a broken UTF-8 sequence must not break the answer.
+/// Serializes JSON. Token texts come from the engine and may contain invalid UTF-8, which is replaced so that serialization does
+/// not fail.
 static std::string serialize(const json &value)
 {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -39,7 +40,7 @@
     return "data: " + serialize(event) + "\n\n";
 }
 
-/// One event of a stream; `finish` is null but in the last.
+/// One event of a stream; `finish` is null except in the last one.
 static json makeChunk(const CompletionAnswer &answer, const json &delta, const json &finish)
 {
     json event = makeEnvelope(answer, true);
@@ -121,7 +122,7 @@
     if (!answer.exchange->isBegun()) {
         return replyCompletionError(answer.exchange, error, answer.publicId);
     }
-    // The status is out already: the error goes into the stream, and the missing [DONE] says that it is not whole.
+    // The status has already been sent, so the error goes into the stream; the missing [DONE] marks the response as incomplete.
     answer.exchange->pushChunk("data: " + completionErrorBody(error) + "\n\n");
     answer.exchange->endStream();
 }
--- a/src/entry/completion_request.cpp
+++ b/src/entry/completion_request.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Errors, [SECTION] Fields, [SECTION] Whole requests
+// Index: [SECTION] Errors, [SECTION] Fields, [SECTION] Requests
 #include "entry/completion_request.h"
 
 #include "http/problem.h"
@@ -45,14 +45,14 @@
 namespace
 {
 
-/// Fields that change nothing here: sampling of a deterministic model, and labels.
+/// Whether the field is accepted and ignored: labels, and sampling parameters, which have no effect on a deterministic model.
 bool isIgnoredField(const std::string &field)
 {
     static const std::set<std::string> fields = {"temperature", "top_p", "presence_penalty", "frequency_penalty", "seed", "user", "metadata", "store"};
     return fields.count(field) > 0;
 }
 
-/// Content of a message: a string, or a list of text parts.
+/// Reads the content of a message: a string, or a list of text parts, which are joined.
 bool readContent(const json &content, std::string &text, CompletionError &error)
 {
     if (content.is_string()) {
@@ -126,7 +126,8 @@
     return true;
 }
 
-/// Fields that are accepted only with the value that asks for nothing.
+/// Checks a field of a feature that is not supported: only a value that does not request the feature is accepted. Refuses unknown
+/// fields.
 bool checkUnsupportedField(const std::string &field, const json &value, CompletionError &error)
 {
     if (field == "n" || field == "best_of") {
@@ -182,7 +183,7 @@
 
 } // namespace
 
-// [SECTION] Whole requests
+// [SECTION] Requests
 
 bool readCompletionRequest(const std::string &body, CompletionKind kind, CompletionRequest &request, CompletionError &error)
 {
--- a/src/entry/completion_request.h
+++ b/src/entry/completion_request.h
@@ -1,7 +1,7 @@
-// Requests of the completion protocol: strict reading, and refusals in the protocol's error object.
+// Requests of the completion protocol: strict parsing, and error responses in the protocol's error object.
 //
-// A field that is not understood is refused by name rather than ignored, since an answer that silently leaves it out would
-// be wrong.
+// A request with an unknown or unsupported field is refused, and the error names the field: a response that silently ignored
+// it would be wrong.
 #pragma once
 
 #include "generated/messages.h"
@@ -12,36 +12,36 @@
 namespace Parsleytrail
 {
 
-/// Which of the two forms a request has.
+/// Form of a request: chat messages or a single text prompt.
 enum class CompletionKind { Chat, Text };
 
-/// A checked request.
+/// A parsed and validated request.
 struct CompletionRequest {
     CompletionKind kind = CompletionKind::Chat;
-    std::string service;         ///< "model" in the request
-    std::string prompt;          ///< text for the engines
-    bool isStream = false;       ///< server-sent events
-    bool includeUsage = false;   ///< a last event with usage
-    std::uint32_t maxTokens = 0; ///< 0: the service's own
+    std::string service;         ///< name of the service; the field "model" of the request
+    std::string prompt;          ///< input text for the engines
+    bool isStream = false;       ///< the response is sent as server-sent events
+    bool includeUsage = false;   ///< a final event with the token counts is requested
+    std::uint32_t maxTokens = 0; ///< most tokens to generate; 0: the service's max-tokens
 };
 
-/// A refusal in the completion protocol's error object.
+/// An error response in the completion protocol's error object.
 struct CompletionError {
     int status = 400;                           ///< HTTP status
-    std::string message;                        ///< for people
-    std::string type = "invalid_request_error"; ///< class of error
-    std::string param;                          ///< field at fault, or empty
-    std::string code;                           ///< for programs, or empty
-    Outcome outcome = Outcome::NotRun;          ///< what is known of the request
-    int retryAfterSeconds = 0;                  ///< 0: no Retry-After
+    std::string message;                        ///< human-readable description
+    std::string type = "invalid_request_error"; ///< error class of the protocol
+    std::string param;                          ///< name of the invalid field, or empty
+    std::string code;                           ///< machine-readable code, or empty
+    Outcome outcome = Outcome::NotRun;          ///< whether the request was run
+    int retryAfterSeconds = 0;                  ///< value of Retry-After; 0: the header is not sent
 };
-/// Reads and checks a request's body. Returns false with `error` filled if it is not acceptable.
+/// Parses and validates a request body. Returns false and fills in `error` if the request is not acceptable.
 bool readCompletionRequest(const std::string &body, CompletionKind kind, CompletionRequest &request, CompletionError &error);
-/// Fills in a refusal; returns false, for `return refuse(...)`.
+/// Fills in an error. Always returns false, so that callers can write `return refuse(...)`.
 bool refuse(CompletionError &error, const std::string &param, const std::string &message, const char *code = "");
-/// The error object.
+/// JSON body of an error response.
 std::string completionErrorBody(const CompletionError &error);
-/// Answers with the error object.
+/// Sends an error response.
 void replyCompletionError(const ExchangePtr &exchange, const CompletionError &error, const std::string &requestId);
 
 } // namespace Parsleytrail
--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Errors, [SECTION] Running, [SECTION] Completions
+// Index: [SECTION] Errors, [SECTION] Requests, [SECTION] Completions
 #include "entry/completions.h"
 
 #include "base/digest.h"
@@ -13,19 +13,19 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxCallerBacklogBytes = 1 << 20; ///< a caller that reads more slowly than this loses its stream
+constexpr std::size_t maxCallerBacklogBytes = 1 << 20; ///< unsent bytes above which the response to a slow reader is aborted
 
 namespace
 {
 
-/// An answer with what running it needs.
+/// A response in progress, with the state of its request.
 struct OpenAnswer : CompletionAnswer {
-    WorkspaceName workspace;        ///< of the caller
-    WorkOwner owner;                ///< whose work it is
-    double firstTokenTarget = 0;    ///< seconds
-    double betweenTokensTarget = 0; ///< seconds; 0: none
-    TimePoint startedAt{};          ///< admitted; zero while waiting
-    TimePoint lastTokenAt{};        ///< zero before the first
+    WorkspaceName workspace;        ///< workspace of the caller
+    WorkOwner owner;                ///< whom the usage is recorded for
+    double firstTokenTarget = 0;    ///< target for the time to the first token, in seconds
+    double betweenTokensTarget = 0; ///< target for the time between tokens, in seconds; 0: none
+    TimePoint startedAt{};          ///< time of admission; zero while the request waits
+    TimePoint lastTokenAt{};        ///< time of the last token; zero before the first
 };
 
 // [SECTION] Errors
@@ -57,7 +57,7 @@
 
 } // namespace
 
-// [SECTION] Running
+// [SECTION] Requests
 
 struct Completions::Private {
     EntryContext &context;
@@ -108,7 +108,7 @@
     return true;
 }
 
-/// The answer is over, whichever way.
+/// Removes an ended response, whether complete or not, from the counts of open requests.
 void Completions::Private::release(const OpenAnswer &answer)
 {
     --openTotal;
@@ -160,7 +160,7 @@
     return handlers;
 }
 
-/// The caller went away, or reads too slowly.
+/// Ends a request whose caller disconnected or reads too slowly.
 void Completions::Private::abandon(OpenAnswer &answer)
 {
     ++abandoned;
--- a/src/entry/completions.h
+++ b/src/entry/completions.h
@@ -1,7 +1,7 @@
-// The callers' completion protocol: chat and text completions, whole or streamed, and the list of models.
+// Completion protocol for callers: chat and text completions, streamed or not, and the list of models.
 //
-// Requests are checked strictly: a field that is not understood is refused by name rather than ignored, since an
-// answer that silently leaves it out would be wrong.
+// Requests are validated strictly: one with an unknown or unsupported field is refused, and the error names the field, as a
+// response that silently ignored it would be wrong.
 #pragma once
 
 #include "entry/admission_queue.h"
@@ -13,12 +13,12 @@
 namespace Parsleytrail
 {
 
-/// Who asks.
+/// An authenticated caller and the ids of its request.
 struct Caller {
-    WorkspaceName workspace;                   ///< of the key
-    const WorkspaceSection *section = nullptr; ///< valid during the call it is passed to
-    RequestId request;                         ///< unique in the system
-    std::string publicId;                      ///< X-Request-Id of the answer: the caller's own, if it sent one
+    WorkspaceName workspace;                   ///< workspace that the caller's key belongs to
+    const WorkspaceSection *section = nullptr; ///< its configuration; valid only during the call that it is passed to
+    RequestId request;                         ///< generated id, unique in the system
+    std::string publicId;                      ///< X-Request-Id of the response: the caller's own if it sent a safe one, otherwise `request`
 };
 
 /// Serves the completion protocol.
@@ -35,12 +35,13 @@
     /// GET /v1/models
     void models(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration) const;
 
-    /// Open requests of a workspace.
+    /// Number of open requests of a workspace.
     std::size_t open(const WorkspaceName &workspace) const;
+    /// Number of all open requests.
     std::size_t open() const;
-    /// Refuses waiting requests that are late. Called every few tens of milliseconds.
+    /// Starts waiting requests, and refuses those that can no longer start in time. Called every few tens of milliseconds.
     void tick();
-    /// JSON object by model: running, waiting, limit.
+    /// JSON object with running, waiting and limit of each model.
     std::string describeAdmission() const;
 
 private:
--- a/src/entry/context.h
+++ b/src/entry/context.h
@@ -1,4 +1,4 @@
-// What the parts of an entry share. Internal to src/entry.
+// Services and state that the components of one entry share. Internal to src/entry.
 #pragma once
 
 #include "base/history.h"
@@ -13,18 +13,18 @@
 namespace Parsleytrail
 {
 
-/// Shared by the parts of one entry; they live no longer than it.
+/// Shared by the components of one entry, which must not outlive it.
 struct EntryContext {
-    EventLoop &loop;               ///< the process's loop
-    const Clock &clock;            ///< time
-    const EntrySettings &settings; ///< as read at the start
-    Incarnation incarnation;       ///< this start
+    EventLoop &loop;               ///< event loop of the process
+    const Clock &clock;            ///< time source
+    const EntrySettings &settings; ///< as read at startup
+    Incarnation incarnation;       ///< identifies this start of the process
     LinkPool &links;               ///< links to sidecars and other entries
-    Metrics &metrics;              ///< counters of the process
-    History &history;              ///< events for tests
-    std::mt19937_64 random;        ///< for choices between equals
-    RetryBudget retryBudget;       ///< new attempts allowed
-    bool isDraining = false;       ///< no new requests are taken
+    Metrics &metrics;              ///< metrics of the process
+    History &history;              ///< events from which tests and the bench check the promises of a run
+    std::mt19937_64 random;        ///< for random choices among targets
+    RetryBudget retryBudget;       ///< limits new attempts of streams and retries of calls to a share of the requests
+    bool isDraining = false;       ///< new requests are refused
 };
 
 } // namespace Parsleytrail
--- a/src/entry/input_guard.cpp
+++ b/src/entry/input_guard.cpp
@@ -81,6 +81,7 @@
 
 void InputGuard::handleNotice(const SuspicionNotice &notice)
 {
+    // A notice without crashes clears the input.
     if (notice.crashes.empty()) {
         return clearInput(notice.fingerprint);
     }
--- a/src/entry/input_guard.h
+++ b/src/entry/input_guard.h
@@ -1,4 +1,4 @@
-// Keeps inputs that kill engines away from them, together with the other entries.
+// Refuses inputs that crash engines. Entries exchange what they record, so that all of them refuse the same inputs.
 #pragma once
 
 #include "entry/context.h"
@@ -11,30 +11,32 @@
 namespace Parsleytrail
 {
 
-/// What an entry knows of suspect inputs, and how it tells others.
+/// The suspect and quarantined inputs that an entry holds, and the notices that keep other entries up to date.
 class InputGuard
 {
 public:
     explicit InputGuard(EntryContext &context);
     ~InputGuard();
 
-    /// Called with notices that other entries must have.
+    /// Called with each notice that must be sent to other entries.
     void onNotice(std::function<void(const SuspicionNotice &)> handler);
 
-    /// What is known of an input, unless the service's section allows it.
+    /// Classifies an input. A quarantined input whose fingerprint is in `allowed`, the service's allow-inputs, is only suspect.
     InputStatus classify(std::uint64_t fingerprint, const std::vector<std::string> &allowed) const;
-    /// An engine died with the input in flight. `crash` is the same for all that were in flight there.
+    /// Records that an engine crashed with the input in flight. `crash` identifies the crash: it is the same for all inputs that were
+    /// in flight there.
     void recordEngineCrash(std::uint64_t fingerprint, std::uint64_t crash, const ServiceName &service, const WorkspaceName &workspace,
                            const RequestId &request);
-    /// The input has run past the point at which it was suspected.
+    /// Clears a suspect input that has run past the point at which it became suspect.
     void clearInput(std::uint64_t fingerprint);
-    /// Another entry told; tells it on if it was news.
+    /// Applies a notice from another entry, and forwards it if it changed anything here.
     void handleNotice(const SuspicionNotice &notice);
-    /// Everything known, for an entry that has just come up.
+    /// Notices for all suspect and quarantined inputs, for an entry that has just started.
     std::vector<SuspicionNotice> notices() const;
+    /// Drops inputs whose lifetime since their last crash has expired.
     void prune();
 
-    /// Suspect and convicted inputs, for the status.
+    /// JSON list of suspect and quarantined inputs, for the status.
     nlohmann::json describe() const;
 
 private:
@@ -42,7 +44,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// Fingerprint of an input: 16 hexadecimal digits.
+/// Formats the fingerprint of an input as 16 hexadecimal digits, as logs, the status and allow-inputs write it.
 std::string fingerprintText(std::uint64_t fingerprint);
 
 } // namespace Parsleytrail
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] State, [SECTION] Attempts, [SECTION] Ends, [SECTION] Frames, [SECTION] Standing still, [SECTION] Streams
+// Index: [SECTION] State, [SECTION] Attempts, [SECTION] Closing, [SECTION] Frames, [SECTION] Stalls, [SECTION] Streams
 #include "entry/streams.h"
 
 #include "base/log.h"
@@ -13,9 +13,9 @@
 
 // [SECTION] State
 
-constexpr milliseconds maxProgressTimeout{5000}; ///< before anything is known of a model's times, and for answers of stages that are heard
-constexpr milliseconds exclusionLifetime{500};   ///< a waiting stream takes back targets that failed it after this time
-constexpr double retryRefillPerSecond = 0.1;     ///< share of the open streams that may get a new attempt each second, beyond the share of requests
+constexpr milliseconds maxProgressTimeout{5000}; ///< longest progress timeout, also without samples; longest wait for reports of reachable stages
+constexpr milliseconds exclusionLifetime{500};   ///< after waiting this long, a stream may use targets again that failed it
+constexpr double retryRefillPerSecond = 0.1;     ///< new attempts earned each second, as a share of the open streams, beyond those earned by requests
 
 namespace
 {
@@ -24,25 +24,25 @@
 struct OpenStream {
     StreamRequest request;
     std::shared_ptr<const StreamHandlers> handlers;
-    Attempt attempt;                                   ///< current; 0 before the first
-    std::vector<StageAddress> chain;                   ///< current stages; empty while waiting for a target
+    Attempt attempt;                                   ///< current attempt; 0 before the first
+    std::vector<StageAddress> chain;                   ///< current stages; empty if no targets could be selected
     std::vector<StageAddress> openedStages;            ///< stages that may hold state of this stream
-    std::vector<std::uint32_t> emitted;                ///< tokens given to the caller
-    std::set<TargetId> excludedTargets;                ///< failed this stream
-    TimePoint openedAt{};                              ///< request taken
-    TimePoint lastProgressAt{};                        ///< last token, or start of the attempt
-    TimePoint failedAt{};                              ///< first failure since the last token; zero: none
-    TimePoint waitingSince{};                          ///< no chain since; zero: has one
-    bool isSuspect = false;                            ///< an engine died under it; cleared by the next token
-    bool isAttemptSuspect = false;                     ///< the current attempt was opened as a suspect: its first steps run alone
-    TimePoint retryNotBefore{};                        ///< no new attempt before
-    bool isQueryPending = false;                       ///< StageQuery is out
-    TimePoint queriedAt{};                             ///< when StageQuery went out
-    std::vector<std::optional<StageProgress>> reports; ///< answers to it
-    std::uint32_t inconclusiveQueries = 0;             ///< see judgeStall()
+    std::vector<std::uint32_t> emitted;                ///< tokens passed to the caller
+    std::set<TargetId> excludedTargets;                ///< targets that failed this stream
+    TimePoint openedAt{};                              ///< when the stream was opened
+    TimePoint lastProgressAt{};                        ///< last token, start of the attempt, or query that found no stage to replace
+    TimePoint failedAt{};                              ///< last progress before the first failure since the last token; zero: no failure
+    TimePoint waitingSince{};                          ///< since when the stream waits for its next attempt; zero: not waiting
+    bool isSuspect = false;                            ///< an engine crashed with it in flight; cleared by the next token
+    bool isAttemptSuspect = false;                     ///< the current attempt was opened as suspect, so that its first steps run alone
+    TimePoint retryNotBefore{};                        ///< earliest time of the next attempt
+    bool isQueryPending = false;                       ///< a StageQuery was sent whose reports are not evaluated yet
+    TimePoint queriedAt{};                             ///< when the StageQuery was sent
+    std::vector<std::optional<StageProgress>> reports; ///< received reports, by stage
+    std::uint32_t inconclusiveQueries = 0;             ///< see decideStallAction()
 };
 
-/// Times of one model's streams.
+/// Token latencies of one model's streams.
 struct ModelTimes {
     TimeEstimate firstToken;
     TimeEstimate betweenTokens;
@@ -67,7 +67,7 @@
     std::unordered_map<RequestId, OpenStream> streams;
     std::map<ModelName, ModelTimes> timesByModel;
     TimePoint refilledAt{};
-    Timer suspectTimer; ///< tries suspects again as soon as their pause is over
+    Timer suspectTimer; ///< retries suspect streams as soon as their delay is over
     std::uint64_t &stagesReplaced;
     std::uint64_t &tokensEmitted;
     std::uint64_t &tokensDropped;
@@ -194,7 +194,7 @@
     }
 }
 
-/// Leaves the stream to a later try, on the chain that is set if there is one.
+/// Marks the stream to be retried later, on its current chain if it has one.
 void Streams::Private::markWaiting(OpenStream &stream)
 {
     if (stream.waitingSince == TimePoint{}) {
@@ -202,7 +202,9 @@
     }
 }
 
-/// Starts a new attempt on the chain that is set, or on a new one; waits if there is none or the budget is spent.
+/// Starts the next attempt on the current chain, or on a newly selected one if there is none. The stream waits if no chain is
+/// found, the retry budget is spent or a suspect's delay is not over; it fails if it has used all its attempts or its input is
+/// quarantined.
 void Streams::Private::tryNextAttempt(OpenStream &stream, const Error &error)
 {
     if (stream.attempt.value >= maxAttempts) {
@@ -255,7 +257,7 @@
     tryNextAttempt(stream, error);
 }
 
-// [SECTION] Ends
+// [SECTION] Closing
 
 void Streams::Private::closeStage(const OpenStream &stream, const StageAddress &stage)
 {
@@ -273,7 +275,7 @@
     }
 }
 
-/// Tells stages that the chain has left to free the stream: they may be well, and hold KV cache for it.
+/// Closes the stream at stages that are no longer in its chain: they may be healthy and hold KV cache for it.
 void Streams::Private::closeRemovedStages(OpenStream &stream)
 {
     std::erase_if(stream.openedStages, [&](const StageAddress &stage) {
@@ -323,7 +325,7 @@
     OpenStream *stream = find(frame.request);
     const bool isNext = stream && frame.attempt == stream->attempt && frame.index == stream->emitted.size();
     if (!isNext) {
-        // Late frames of an attempt that was given up must not reach the caller: their token was emitted already.
+        // Late frames of an abandoned attempt must not reach the caller: their token has already been emitted.
         ++tokensDropped;
         return;
     }
@@ -352,7 +354,7 @@
                                          {"token", std::uint64_t{frame.token}},
                                          {"attempt", std::uint64_t{frame.attempt.value}}});
     }
-    // The handler may cancel the stream.
+    // The handler may cancel the stream, which destroys it.
     const auto handlers = stream->handlers;
     handlers->onToken(frame);
     stream = find(frame.request);
@@ -361,12 +363,13 @@
     }
 }
 
-/// An engine died with the stream in flight. Returns false if the stream was ended because its input is convicted.
+/// Records that an engine crashed with the stream in flight. Returns false if the stream was ended because its input is
+/// quarantined.
 bool Streams::Private::recordEngineCrash(OpenStream &stream, const StageFailed &frame)
 {
     const StreamRequest &request = stream.request;
-    // A second death under an attempt that did not run alone yet says nothing new: a stream is in flight at several
-    // stages, and two of their engines may die together of something else.
+    // A second crash during an attempt that did not run alone is no evidence against the input: a stream is in flight at several
+    // stages, and two of their engines may crash together for another reason.
     const bool isInconclusive = stream.isSuspect && !stream.isAttemptSuspect;
     if (isInconclusive) {
         return true;
@@ -391,7 +394,7 @@
 {
     StreamFailure failure;
     failure.isQuarantined = true;
-    fail(stream, {error.step, error.peer, "the input was in flight at two separate deaths of engines"}, failure);
+    fail(stream, {error.step, error.peer, "the input was in flight at two separate engine crashes"}, failure);
 }
 
 void Streams::Private::handleStageFailure(const StageFailed &frame)
@@ -428,7 +431,7 @@
     }
 }
 
-// [SECTION] Standing still
+// [SECTION] Stalls
 
 milliseconds Streams::Private::progressTimeout(const OpenStream &stream)
 {
@@ -453,8 +456,9 @@
     queryStages(stream, now);
 }
 
-/// Whether a stage that has not answered is to be taken as gone. One that is still heard is only slow to answer, as is this
-/// process if it is slow to read: replaced for that, all stages of a busy system would be, one after the other.
+/// Whether a stage that has not reported is considered lost. While messages from its target still arrive, it is given up to
+/// maxProgressTimeout, as it is only slow to report, or this process slow to read: if that led to a replacement, a busy system
+/// would replace all its stages, one after the other.
 bool Streams::Private::isReportOverdue(const OpenStream &stream, TimePoint now) const
 {
     const auto waited = now - stream.queriedAt;
@@ -493,7 +497,7 @@
     }
 }
 
-/// Replaces the matching stage of every stream that has one.
+/// Replaces the first matching stage of every stream that has one.
 void Streams::Private::replaceMatchingStages(const std::function<bool(const StageAddress &)> &matches, const Error &error, bool isTargetFault)
 {
     std::vector<RequestId> affected;
@@ -576,7 +580,7 @@
         [&target](const StageAddress &stage) {
             return stage.target == target;
         },
-        {"hear from target", target.value, "silent or restarted"}, false);
+        {"hear from target", target.value, "timed out, restarted or lost its engine"}, false);
 }
 
 void Streams::handleTargetsChanged()
