--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -1,7 +1,8 @@
-// Random schedules of faults, judged by the history checker; and the checker itself, shown to fail.
+// Random fault schedules whose history is checked against the promises of the system, and tests that the checker detects
+// violations.
 //
-// PARSLEY_FAULT_SEEDS=FROM-TO runs other seeds than the usual few. A failing run names its seed; the same seed gives the
-// same schedule of actions (their interleaving with the sockets differs from run to run).
+// PARSLEY_FAULT_SEEDS=FROM-TO runs other seeds than the default 1-10. A failure names its seed; the same seed gives the same
+// schedule of actions, but their interleaving with socket events differs from run to run.
 #include "bench/history_checker.h"
 #include "tests/cluster.h"
 
@@ -19,22 +20,22 @@
 
 constexpr int actionsInRun = 50;
 
-/// A question on its way.
+/// A completion in progress.
 struct OpenCompletion {
     std::string prompt;
     std::uint32_t maxTokens = 0;
     AnswerPtr answer;
 };
 
-/// A booking that is sent until it is answered.
+/// A booking that is sent until it is answered or no sends are left.
 struct OpenBooking {
-    std::string reference; ///< X-Request-Id, and key if it has one
+    std::string reference; ///< X-Request-Id, and Idempotency-Key if it has one
     bool hasKey = false;
     int sendsLeft = 1;
     std::shared_ptr<std::optional<HttpResult>> result;
 };
 
-/// One run of random actions on a small system.
+/// One run of random actions on a small cluster.
 class FaultRun
 {
 public:
@@ -44,7 +45,7 @@
     {
     }
 
-    /// Runs the schedule to its end and returns what was broken.
+    /// Runs the schedule to its end and returns the violations found.
     std::vector<Violation> run();
     int answered() const
     {
@@ -287,7 +288,7 @@
         collectResults();
     }
     restoreAll();
-    m_cluster.wait("all questions and bookings to end", [&] {
+    m_cluster.wait("all completions and bookings to end", [&] {
         collectResults();
         return m_completions.empty() && m_bookings.empty();
     });
@@ -312,7 +313,8 @@
 
 BOOST_AUTO_TEST_CASE(no_promise_is_broken_under_random_faults)
 {
-    // Questions and bookings go on while engines, sidecars, entries, the application and the platform fail and come back.
+    // Completions and bookings are sent while engines, sidecars, entries, applications and the platform fail and recover. None of
+    // these failures, alone or together, may break a promise that the history checker checks.
     const auto [from, to] = seedRange();
     for (std::uint64_t seed = from; seed <= to; ++seed) {
         FaultRun run(seed);
@@ -327,7 +329,8 @@
 
 BOOST_AUTO_TEST_CASE(the_checker_fails_for_each_promise)
 {
-    // A clean run, and one event added or changed for each promise: each must be caught, under its own name.
+    // Events that break one promise are added to the history of a clean run: the checker must report a violation of that promise.
+    // Guards against a checker that passes whatever happens.
     Cluster cluster;
     const AnswerPtr answer = cluster.ask("clean", 10);
     cluster.wait("the answer", [&] {
@@ -365,7 +368,7 @@
            {"engine", firstOf("engine-step")["engine"]},
            {"stream", firstOf("engine-step")["stream"]},
            {"position", 99},
-           {"positions", 1}}}},             // a gap
+           {"positions", 1}}}},             // positions are skipped
         {Promise::OwnWholeAnswer, {token}}, // a token is emitted again
         {Promise::OwnWholeAnswer, {{{"event", "caller-answer"}, {"request", "a"}, {"text", "b's answer"}, {"expected", "a's answer"}}}},
         {Promise::NotRunIsTrue, {{{"event", "stream-ended"}, {"request", applied["request"]}, {"outcome", "not-run"}}}},
@@ -391,8 +394,8 @@
 
 BOOST_AUTO_TEST_CASE(an_engine_that_skips_a_layer_is_seen_in_the_answer)
 {
-    // The stand-in's tokens depend on every layer in order: an engine that holds one layer less than it says gives a
-    // wrong answer, not a shorter one.
+    // The tokens of the stand-in depend on every layer in order: an engine that holds one layer less than it announces gives a
+    // wrong answer, not a shorter one, so that comparing the texts detects it.
     const StandIn::Weights weights{"assistant", "v1", "clay"};
     const auto right = StandIn::referenceAnswer("x", weights, 32, 12);
     const auto skipped = StandIn::referenceAnswer("x", weights, 31, 12);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,6 +1,6 @@
-// Stages that fail while an answer is on its way. Whatever fails, the caller's answer is the reference answer.
+// Failures of stages, entries and callers during a response. Whichever stage fails, the caller receives the reference answer.
 //
-// Each test kills something at a fixed number of tokens; what happens in which order is told at each.
+// Each failure is injected after a fixed number of tokens; the sequence of events is described at each test.
 #include "tests/cluster.h"
 #include "wire/link.h"
 
@@ -20,8 +20,8 @@
 constexpr std::uint32_t answerTokens = 40;
 const std::string prompt = "how do I rinse a drum";
 
-/// Engines slow enough that an answer is still on its way when the test acts. Only tests of standing still shorten the time
-/// after which a stream counts as such: a machine that is busy for a moment must not change what the others assert.
+/// Engines slow enough that a response is still in progress when the test injects its failure. Only tests of stalls shorten the
+/// time after which a stream counts as stalled: in all others, a short load peak on the machine must not change the result.
 ClusterOptions slowEngines(milliseconds progressTimeout = milliseconds(10000))
 {
     ClusterOptions options;
@@ -35,7 +35,7 @@
     return options;
 }
 
-/// Asks, waits until some tokens are out, and returns the engine that carries `stage`.
+/// Starts a completion, waits for its first `afterTokens` tokens, and returns the index of the engine that runs `stage`.
 std::size_t startAndFindEngine(Cluster &cluster, AnswerPtr &answer, std::size_t stage, std::uint32_t afterTokens = 10)
 {
     answer = cluster.ask(prompt, answerTokens);
@@ -57,7 +57,7 @@
     BOOST_TEST(answer->text == cluster.expected(prompt, answerTokens));
 }
 
-/// Positions that an engine applied for any stream.
+/// Positions that an engine applied, over all streams.
 std::uint64_t appliedPositions(const Cluster &cluster, std::size_t engine)
 {
     return cluster.engines[engine]->positionsApplied();
@@ -69,9 +69,9 @@
 
 BOOST_DATA_TEST_CASE(engine_dies, boost::unit_test::data::xrange(3), stage)
 {
-    // The caller sees one whole answer. The engine of one stage dies after ten tokens; its sidecar sees the connection
-    // break and tells the entry, which puts the other holder of the range in its place. The stage before it sends its
-    // kept results again, so that only the failed range is computed a second time.
+    // The engine of one stage dies after ten tokens. Its sidecar sees the connection break and reports it to the entry, which
+    // replaces the stage with the other holder of its layer range. The stage before it sends its kept results again, so that
+    // only the failed range is computed a second time. The caller receives one complete response.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
     const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
@@ -83,7 +83,7 @@
     }
     cluster.engines[engine]->die();
     checkAnswer(cluster, answer);
-    const std::uint64_t positions = 7 + 1 + answerTokens - 1; // prompt of 8 tokens; the last token is not applied
+    const std::uint64_t positions = 7 + 1 + answerTokens - 1; // prompt of 8 tokens; the last generated token is not applied
     for (const std::size_t survivor : survivors) {
         BOOST_TEST(appliedPositions(cluster, survivor) == positions);
     }
@@ -91,8 +91,8 @@
 
 BOOST_DATA_TEST_CASE(engine_hangs, boost::unit_test::data::xrange(3), stage)
 {
-    // The engine of one stage takes steps and never answers: no connection breaks. The entry sees no token for
-    // progress-timeout, asks all stages how far they are, and blames the one with inputs that it has not applied.
+    // The engine of one stage accepts steps and never responds: no connection breaks. The entry receives no token for
+    // progress-timeout, queries the progress of all stages, and replaces the one with inputs that it has not applied.
     Cluster cluster(slowEngines(milliseconds(300)));
     AnswerPtr answer;
     const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
@@ -102,8 +102,8 @@
 
 BOOST_AUTO_TEST_CASE(the_entry_itself_stands_still, *boost::unit_test::label("known_red"))
 {
-    // The entry is stopped, or its machine is busy, for longer than silence-timeout, and then goes on. What the sidecars
-    // sent meanwhile is still to be read: none of them is silent, no stage is replaced, and no request is refused.
+    // The entry's process is paused, or its machine is busy, for longer than silence-timeout, and then continues. Messages that
+    // the sidecars sent meanwhile are still unread: no sidecar may time out, no stage be replaced and no request be refused.
     ClusterOptions options = slowEngines();
     options.tuneEntry = [](EntrySettings &entry) {
         entry.silenceTimeout = milliseconds(700);
@@ -120,8 +120,8 @@
 
 BOOST_AUTO_TEST_CASE(a_sidecar_reports_that_it_does_not_hold_a_stream)
 {
-    // A sidecar that is well has freed a stream that its entry still has open. Asked how far it is, it names the attempt and
-    // the stage asked about, and no attempt of its own, so that the entry replaces it without waiting for more.
+    // A healthy sidecar has freed a stream that its entry still has open. Its report on a progress query names the attempt and
+    // the stage of the query, and no attempt of its own, so that the entry replaces it without waiting any longer.
     Cluster cluster;
     std::optional<StageReport> report;
     LinkHandlers handlers;
@@ -144,7 +144,7 @@
 
 BOOST_DATA_TEST_CASE(sidecar_dies, boost::unit_test::data::xrange(3), stage)
 {
-    // The sidecar of one stage is killed: the entry and its neighbours see their links break.
+    // The sidecar of one stage is killed: the entry and the neighbouring stages see their links break.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
     const std::size_t engine = startAndFindEngine(cluster, answer, static_cast<std::size_t>(stage));
@@ -154,8 +154,8 @@
 
 BOOST_AUTO_TEST_CASE(two_stages_die_one_after_the_other)
 {
-    // A second stage dies while the first is being replaced: the new attempt is given up for a newer one, and frames of
-    // the older one that still arrive are dropped.
+    // A second stage dies while the first is being replaced: the new attempt is abandoned for a newer one, and late frames of
+    // the older one are dropped.
     Cluster cluster(slowEngines());
     AnswerPtr answer;
     const std::size_t first = startAndFindEngine(cluster, answer, 0);
@@ -168,8 +168,8 @@
 
 BOOST_AUTO_TEST_CASE(the_only_holder_restarts)
 {
-    // Each range has one holder. Its sidecar is killed and another one starts in its place a moment later, with a new
-    // incarnation. Meanwhile the stream has no chain; the caller waits, and then gets the rest of its answer.
+    // Each range has one holder. Its sidecar is killed, and 200 ms later another one starts in its place with a new
+    // incarnation. Meanwhile the stream has no chain; the caller waits, and then receives the remainder of its response.
     ClusterOptions options = slowEngines();
     options.holders = 1;
     Cluster cluster(options);
@@ -183,8 +183,8 @@
 
 BOOST_AUTO_TEST_CASE(kept_activations_were_dropped)
 {
-    // Sidecars may keep no activations at all. When the last stage is replaced, the stage before it can't send its
-    // results again; it is replaced too, and so on to the first, which runs from the prompt. The answer is the same.
+    // Sidecars may keep no activations at all. When the last stage is replaced, the stage before it can't send its results
+    // again; it is replaced too, and so on to the first, which starts again from the prompt. The answer is the same.
     ClusterOptions options = slowEngines();
     options.tuneSidecar = [](SidecarSettings &sidecar) {
         sidecar.keptActivationBytes = 0;
@@ -198,8 +198,8 @@
 
 BOOST_AUTO_TEST_CASE(entry_dies)
 {
-    // The caller's connection breaks and no [DONE] comes, so that it can't take the part for the whole. Sidecars see
-    // the entry's link close and free the stream, also at their engines.
+    // The caller's connection breaks without [DONE], so that it can't mistake the partial response for a complete one. Sidecars
+    // see the entry's link close and free the stream, also at their engines.
     ClusterOptions options = slowEngines();
     options.tuneSidecar = [](SidecarSettings &sidecar) {
         sidecar.orphanTimeout = milliseconds(300);
@@ -225,8 +225,8 @@
 
 BOOST_AUTO_TEST_CASE(caller_hangs_up)
 {
-    // The caller closes its connection in the middle of an answer. The entry tells the stages, and the engines stop
-    // long before the answer would have ended.
+    // The caller closes its connection in the middle of a response. The entry closes the stages, and the engines stop long
+    // before the response would have ended.
     Cluster cluster(slowEngines());
     const AnswerPtr answer = cluster.ask(prompt, 4000);
     cluster.wait("the first tokens", [&] {
@@ -244,9 +244,9 @@
 
 BOOST_AUTO_TEST_CASE(callers_hang_up_at_once)
 {
-    // Callers go away while their first step waits in the sidecar, or is at the engine: the cancel overtakes the step, which
-    // then begins the stream anew at the engine. The sidecar, which no longer knows the stream, cancels it again when the
-    // step comes back; without that the engine's KV cache fills up with streams that nobody reads.
+    // Callers disconnect while their first step waits in the sidecar or runs at the engine: the cancel overtakes the step, which
+    // then opens the stream again at the engine. The sidecar, which no longer holds the stream, cancels it again when the step's
+    // result arrives; otherwise the engine's KV cache would fill up with streams that nobody reads.
     Cluster cluster(slowEngines());
     for (int i = 0; i < 60; ++i) {
         const AnswerPtr answer = cluster.ask("gone " + std::to_string(i), 4000);
@@ -263,8 +263,8 @@
 
 BOOST_AUTO_TEST_CASE(a_replaced_stage_is_closed_at_once)
 {
-    // The engine of a stage hangs; the stage is replaced, and its sidecar, which is well, is told at once and not only at
-    // the end of the answer, so that its engine can use the memory when it comes back.
+    // The engine of a stage hangs and the stage is replaced. Its sidecar, which is healthy, must be told to close the stream at
+    // once and not only at the end of the response, so that its engine can use the memory when it recovers.
     Cluster cluster(slowEngines(milliseconds(300)));
     AnswerPtr answer = cluster.ask(prompt, 4000);
     cluster.wait("the first tokens", [&] {
@@ -283,7 +283,8 @@
 
 BOOST_AUTO_TEST_CASE(caller_of_a_whole_answer_hangs_up)
 {
-    // Nothing is written to the caller before the end, so that only the reading side can tell that it has gone.
+    // Nothing is written to the caller before the end of the response, so that only the reading side of its connection can detect
+    // that it has disconnected.
     Cluster cluster(slowEngines());
     const nlohmann::json body = {{"model", "chat"}, {"max_tokens", 4000}, {"messages", {{{"role", "user"}, {"content", prompt}}}}};
     HttpStreamHandlers handlers;
@@ -292,19 +293,19 @@
         return cluster.entries[0]->open() == 1 && cluster.engines[0]->positionsApplied() + cluster.engines[1]->positionsApplied() > 10;
     });
     call->cancel();
-    cluster.wait("the entry to notice", [&] {
+    cluster.wait("the entry to detect the disconnect", [&] {
         return cluster.entries[0]->open() == 0;
     });
 }
 
 BOOST_AUTO_TEST_CASE(no_holder_of_a_range_at_all)
 {
-    // Both holders of the middle range are gone before the question comes. The entry saw their links break, opens no
-    // stage, and after a short wait for a holder to come back tells the caller that nothing was run.
+    // Both holders of the middle range are lost before the request arrives. The entry saw their links break, opens no stage,
+    // waits up to maxWaitBeforeFirstToken for a holder to return, and then responds that nothing was run.
     Cluster cluster;
     cluster.killSidecar(2);
     cluster.killSidecar(3);
-    cluster.wait("the entry to see it", [&] {
+    cluster.wait("the entry to report the range as uncovered", [&] {
         const nlohmann::json status = nlohmann::json::parse(cluster.entries[0]->status());
         return status["coverage"]["assistant@v1"]["10-22"] == 0;
     });
