--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -13,8 +13,8 @@
 
 /// An entry that was heard of.
 struct KnownEntry {
-    TimePoint heardAt{};     ///< last
-    Incarnation incarnation; ///< of its last announcement; 0 if it is only on the list
+    TimePoint lastReceivedAt{}; ///< last
+    Incarnation incarnation;    ///< of its last announcement; 0 if it is only on the list
 };
 
 } // namespace
@@ -27,11 +27,11 @@
     std::function<void(Announcement &)> describe;
     Address self;
     std::uint64_t sequence = 0;
-    Announcement announced;              ///< last sent in full
-    std::uint32_t reportsSince = 0;      ///< load reports since then
-    std::vector<Address> announcedTo;    ///< who got it
-    std::map<Address, KnownEntry> known; ///< entries
-    TimePoint nextPoll{};
+    Announcement lastAnnouncement;              ///< last sent in full
+    std::uint32_t reportsSinceAnnouncement = 0; ///< load reports since then
+    std::vector<Address> announcedTo;           ///< who got it
+    std::map<Address, KnownEntry> known;        ///< entries
+    TimePoint nextPollAt{};
     Timer timer;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
@@ -49,14 +49,14 @@
     }
 
     void tick();
-    Announcement describeFully();
+    Announcement fullAnnouncement();
     void announce();
     void reportLoad(const Announcement &announcement);
     void pollMembership();
-    std::vector<Address> picked() const;
+    std::vector<Address> selectedEntries() const;
 };
 
-std::vector<Address> Announcer::Private::picked() const
+std::vector<Address> Announcer::Private::selectedEntries() const
 {
     std::vector<Address> all = seeds;
     for (const auto &[address, entry] : known) {
@@ -83,7 +83,7 @@
            || a.layerEnd != b.layerEnd || a.kvCapacity != b.kvCapacity || a.configuration != b.configuration;
 }
 
-Announcement Announcer::Private::describeFully()
+Announcement Announcer::Private::fullAnnouncement()
 {
     Announcement announcement;
     announcement.target.value = context.settings.id;
@@ -101,11 +101,11 @@
 
 void Announcer::Private::announce()
 {
-    announced = describeFully();
-    announcedTo = picked();
-    reportsSince = 0;
+    lastAnnouncement = fullAnnouncement();
+    announcedTo = selectedEntries();
+    reportsSinceAnnouncement = 0;
     for (const Address &entry : announcedTo) {
-        datagrams.send(entry, announced);
+        datagrams.send(entry, lastAnnouncement);
     }
 }
 
@@ -118,7 +118,7 @@
     report.queued = announcement.queued;
     report.stepMicros = announcement.stepMicros;
     report.kvUsed = announcement.kvUsed;
-    ++reportsSince;
+    ++reportsSinceAnnouncement;
     for (const Address &entry : announcedTo) {
         datagrams.send(entry, report);
     }
@@ -127,17 +127,17 @@
 void Announcer::Private::pollMembership()
 {
     const TimePoint now = context.clock.now();
-    if (now < nextPoll) {
+    if (now < nextPollAt) {
         return;
     }
-    nextPoll = now + (known.empty() ? membershipPollAlone : membershipPoll);
+    nextPollAt = now + (known.empty() ? membershipPollIntervalWithoutEntries : membershipPollInterval);
     store.readMembership([this, weak = std::weak_ptr(alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
         if (weak.expired() || status != StoreStatus::Ok) {
             return;
         }
         for (const ListedInstance &instance : instances) {
             if (instance.role == "entry" && !instance.isLeaving) {
-                known[instance.address].heardAt = context.clock.now();
+                known[instance.address].lastReceivedAt = context.clock.now();
             }
         }
     });
@@ -150,12 +150,13 @@
     // With the store away and nothing heard, an old list is better than none.
     if (!store.isDown()) {
         std::erase_if(known, [&](const auto &item) {
-            return now - item.second.heardAt >= entryLife;
+            return now - item.second.lastReceivedAt >= knownEntryLifetime;
         });
     }
-    const Announcement current = describeFully();
-    const bool isDue = reportsSince >= reportsBetweenAnnouncements || differsBeyondLoad(current, announced) || picked() != announcedTo;
-    if (isDue) {
+    const Announcement current = fullAnnouncement();
+    const bool needsFullAnnouncement =
+        reportsSinceAnnouncement >= reportsBetweenAnnouncements || differsBeyondLoad(current, lastAnnouncement) || selectedEntries() != announcedTo;
+    if (needsFullAnnouncement) {
         announce();
     } else {
         reportLoad(current);
@@ -181,7 +182,7 @@
     d->announce();
 }
 
-void Announcer::heardEntry(const EntryAnnouncement &entry)
+void Announcer::handleEntryAnnouncement(const EntryAnnouncement &entry)
 {
     const Address address{entry.host, entry.port};
     if (entry.region != d->context.settings.region) {
@@ -201,7 +202,7 @@
 
 std::vector<Address> Announcer::entries() const
 {
-    return d->picked();
+    return d->selectedEntries();
 }
 
 } // namespace Parsleytrail
--- a/src/sidecar/announcer.h
+++ b/src/sidecar/announcer.h
@@ -25,7 +25,7 @@
     /// Announces in full now, e.g. because the state changed.
     void announce();
     /// An entry announced itself.
-    void heardEntry(const EntryAnnouncement &entry);
+    void handleEntryAnnouncement(const EntryAnnouncement &entry);
     /// Entries announced to at present.
     std::vector<Address> entries() const;
 
@@ -34,9 +34,9 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::uint32_t reportsBetweenAnnouncements = 15; ///< load reports, a quarter of the size, before the next full announcement
-constexpr milliseconds membershipPollAlone{1000};         ///< between reads of the list while no entry is known
-constexpr milliseconds membershipPoll{30000};             ///< between reads of the list otherwise: 3,100 sidecars make 103 reads a second
-constexpr milliseconds entryLife{60000};                  ///< an entry that is heard of in no way for this long is forgotten
+constexpr std::uint32_t reportsBetweenAnnouncements = 15;          ///< load reports, a quarter of the size, before the next full announcement
+constexpr milliseconds membershipPollIntervalWithoutEntries{1000}; ///< between reads of the list while no entry is known
+constexpr milliseconds membershipPollInterval{30000};              ///< between reads of the list otherwise: 3,100 sidecars make 103 reads a second
+constexpr milliseconds knownEntryLifetime{60000};                  ///< an entry that is heard of in no way for this long is forgotten
 
 } // namespace Parsleytrail
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -13,26 +13,26 @@
 
 // [SECTION] State
 
-constexpr std::size_t bodyPartBytes = 32 << 10; ///< bytes of an answer in one frame
+constexpr std::size_t maxBodyFrameBytes = 32 << 10; ///< bytes of an answer in one frame
 
 namespace
 {
 
 /// A call on its way.
-struct HeldCall {
-    CallRequest head;            ///< as received
-    std::string body;            ///< collected so far
-    LinkPtr entry;               ///< where the answer goes; null once it closed
-    HttpCallPtr http;            ///< set once handed over
-    std::size_t uncredited = 0;  ///< answer bytes sent that the caller has not taken
-    std::string pending;         ///< answer bytes that the window does not allow yet
-    std::size_t pendingFrom = 0; ///< bytes of pending already sent
-    bool isAnswered = false;     ///< the application's answer is whole
-    bool hasHead = false;        ///< status and headers of the answer were sent
-    TimePoint startedAt{};       ///< hand-over
+struct SidecarCall {
+    CallRequest head;                ///< as received
+    std::string body;                ///< collected so far
+    LinkPtr entry;                   ///< where the answer goes; null once it closed
+    HttpCallPtr http;                ///< set once handed over
+    std::size_t uncredited = 0;      ///< answer bytes sent that the caller has not taken
+    std::string pending;             ///< answer bytes that the window does not allow yet
+    std::size_t pendingOffset = 0;   ///< bytes of pending already sent
+    bool isResponseComplete = false; ///< the application's answer is whole
+    bool hasHead = false;            ///< status and headers of the answer were sent
+    TimePoint startedAt{};           ///< hand-over
 };
 
-bool isMethodKnown(const std::string &method)
+bool isMethodSupported(const std::string &method)
 {
     return method == "GET" || method == "HEAD" || method == "POST" || method == "PUT" || method == "DELETE" || method == "OPTIONS" || method == "PATCH";
 }
@@ -41,7 +41,7 @@
 
 struct Calls::Private {
     SidecarContext &context;
-    std::unordered_map<RequestId, HeldCall> calls;
+    std::unordered_map<RequestId, SidecarCall> calls;
     std::uint64_t &handedOver;
     std::uint64_t &notRun;
     TimeEstimate callTime;
@@ -49,18 +49,18 @@
 
     void fail(const RequestId &request, Outcome outcome, const std::string &step, const std::string &text);
     void begin(const LinkPtr &link, const CallRequest &head);
-    void takeBody(const CallBody &part);
-    void handOver(HeldCall &call);
-    void sendPending(HeldCall &call);
-    void takeAnswer(HeldCall &call, std::string_view bytes);
-    void endIfSent(const RequestId &request);
+    void handleBody(const CallBody &part);
+    void handOver(SidecarCall &call);
+    void sendPending(SidecarCall &call);
+    void handleResponseData(SidecarCall &call, std::string_view bytes);
+    void finishIfSent(const RequestId &request);
     void finish(const RequestId &request, const std::optional<HttpFailure> &failure);
     void credit(const CallCredit &credit);
     void cancel(const RequestId &request);
-    HeldCall *find(const RequestId &request);
+    SidecarCall *find(const RequestId &request);
 };
 
-HeldCall *Calls::Private::find(const RequestId &request)
+SidecarCall *Calls::Private::find(const RequestId &request)
 {
     const auto it = calls.find(request);
     return it == calls.end() ? nullptr : &it->second;
@@ -68,7 +68,7 @@
 
 void Calls::Private::fail(const RequestId &request, Outcome outcome, const std::string &step, const std::string &text)
 {
-    HeldCall *call = find(request);
+    SidecarCall *call = find(request);
     if (!call) {
         return;
     }
@@ -85,34 +85,34 @@
 
 /// Sends what the window allows. evhttp hands over a chunk of a chunked answer whole, however long it is: sent at once, a
 /// long one would overrun the link that all other calls of this entry share.
-void Calls::Private::sendPending(HeldCall &call)
+void Calls::Private::sendPending(SidecarCall &call)
 {
-    while (call.entry && call.pendingFrom < call.pending.size() && call.uncredited < callWindowBytes) {
-        const std::size_t size = std::min(bodyPartBytes, call.pending.size() - call.pendingFrom);
-        call.entry->send(CallBody{call.head.request, call.pending.substr(call.pendingFrom, size), false});
-        call.pendingFrom += size;
+    while (call.entry && call.pendingOffset < call.pending.size() && call.uncredited < callWindowBytes) {
+        const std::size_t size = std::min(maxBodyFrameBytes, call.pending.size() - call.pendingOffset);
+        call.entry->send(CallBody{call.head.request, call.pending.substr(call.pendingOffset, size), false});
+        call.pendingOffset += size;
         call.uncredited += size;
     }
-    if (call.pendingFrom == call.pending.size() || !call.entry) {
+    if (call.pendingOffset == call.pending.size() || !call.entry) {
         call.pending.clear();
-        call.pendingFrom = 0;
+        call.pendingOffset = 0;
     }
     if (call.http) {
         call.http->pauseReading(!call.pending.empty());
     }
 }
 
-void Calls::Private::takeAnswer(HeldCall &call, std::string_view bytes)
+void Calls::Private::handleResponseData(SidecarCall &call, std::string_view bytes)
 {
     call.pending.append(bytes);
     sendPending(call);
 }
 
 /// The answer is whole and all of it was sent.
-void Calls::Private::endIfSent(const RequestId &request)
+void Calls::Private::finishIfSent(const RequestId &request)
 {
-    const HeldCall *call = find(request);
-    if (!call || !call->isAnswered || !call->pending.empty()) {
+    const SidecarCall *call = find(request);
+    if (!call || !call->isResponseComplete || !call->pending.empty()) {
         return;
     }
     if (call->entry) {
@@ -123,7 +123,7 @@
 
 void Calls::Private::finish(const RequestId &request, const std::optional<HttpFailure> &failure)
 {
-    HeldCall *call = find(request);
+    SidecarCall *call = find(request);
     if (!call) {
         return;
     }
@@ -135,11 +135,11 @@
         return fail(request, outcome, "call application", failure->error.toString());
     }
     recordTime(callTime, std::chrono::duration<double>(context.clock.now() - call->startedAt).count());
-    call->isAnswered = true;
-    endIfSent(request);
+    call->isResponseComplete = true;
+    finishIfSent(request);
 }
 
-void Calls::Private::handOver(HeldCall &call)
+void Calls::Private::handOver(SidecarCall &call)
 {
     const RequestId request = call.head.request;
     HttpClientRequest out;
@@ -160,7 +160,7 @@
     HttpStreamHandlers handlers;
     const std::weak_ptr<bool> weak = alive;
     handlers.onHead = [this, weak, request](int status, const HttpHeaders &headers) {
-        HeldCall *held = weak.expired() ? nullptr : find(request);
+        SidecarCall *held = weak.expired() ? nullptr : find(request);
         if (!held) {
             return;
         }
@@ -176,8 +176,8 @@
         }
     };
     handlers.onData = [this, weak, request](std::string_view bytes) {
-        if (HeldCall *held = weak.expired() ? nullptr : find(request)) {
-            takeAnswer(*held, bytes);
+        if (SidecarCall *held = weak.expired() ? nullptr : find(request)) {
+            handleResponseData(*held, bytes);
         }
     };
     handlers.onDone = [this, weak, request](const std::optional<HttpFailure> &failure) {
@@ -186,7 +186,7 @@
         }
     };
     const HttpCallPtr http = context.client.stream(context.targetAddress, std::move(out), std::move(handlers));
-    if (HeldCall *held = find(request)) {
+    if (SidecarCall *held = find(request)) {
         held->http = http;
     }
 }
@@ -201,7 +201,7 @@
         link->send(CallFailed{head.request, Outcome::Unknown, "begin call", "the request is known already"});
         return;
     }
-    HeldCall &call = calls[head.request];
+    SidecarCall &call = calls[head.request];
     call.head = head;
     call.entry = link;
     if (context.isDraining) {
@@ -213,15 +213,15 @@
     if (calls.size() > static_cast<std::size_t>(context.settings.maxStreams)) {
         return fail(head.request, Outcome::NotRun, "begin call", "max-streams reached");
     }
-    if (!isMethodKnown(head.method)) {
+    if (!isMethodSupported(head.method)) {
         return fail(head.request, Outcome::NotRun, "begin call", "method not supported");
     }
     context.history.record("opened", {{"request", head.request.value}});
 }
 
-void Calls::Private::takeBody(const CallBody &part)
+void Calls::Private::handleBody(const CallBody &part)
 {
-    HeldCall *call = find(part.request);
+    SidecarCall *call = find(part.request);
     if (!call || call->http) {
         return;
     }
@@ -240,18 +240,18 @@
 
 void Calls::Private::credit(const CallCredit &credit)
 {
-    HeldCall *call = find(credit.request);
+    SidecarCall *call = find(credit.request);
     if (!call) {
         return;
     }
     call->uncredited -= std::min<std::size_t>(credit.bytes, call->uncredited);
     sendPending(*call);
-    endIfSent(credit.request);
+    finishIfSent(credit.request);
 }
 
 void Calls::Private::cancel(const RequestId &request)
 {
-    const HeldCall *call = find(request);
+    const SidecarCall *call = find(request);
     if (!call) {
         return;
     }
@@ -274,7 +274,7 @@
 
 Calls::~Calls() = default;
 
-bool Calls::takeFrame(const LinkPtr &link, const Frame &frame)
+bool Calls::handleFrame(const LinkPtr &link, const Frame &frame)
 {
     switch (frame.message) {
     case CallRequest::messageId:
@@ -283,7 +283,7 @@
         });
     case CallBody::messageId:
         return decodeAnd<CallBody>(frame, [&](const CallBody &message) {
-            d->takeBody(message);
+            d->handleBody(message);
         });
     case CallCredit::messageId:
         return decodeAnd<CallCredit>(frame, [&](const CallCredit &message) {
@@ -298,27 +298,27 @@
     }
 }
 
-void Calls::peerGone(const LinkPtr &link)
+void Calls::onPeerDisconnected(const LinkPtr &link)
 {
-    std::vector<RequestId> dropped;
+    std::vector<RequestId> cancelled;
     for (auto &[request, call] : d->calls) {
         if (call.entry != link) {
             continue;
         }
         call.entry = nullptr;
-        const bool mayStop = !call.http || !call.head.nonIdempotent;
-        if (mayStop) {
-            dropped.push_back(request);
+        const bool canCancel = !call.http || !call.head.nonIdempotent;
+        if (canCancel) {
+            cancelled.push_back(request);
         } else {
             d->sendPending(call); // nobody will give credit: drop the answer and let the call run to its end
         }
     }
-    for (const RequestId &request : dropped) {
+    for (const RequestId &request : cancelled) {
         d->cancel(request);
     }
 }
 
-std::size_t Calls::open() const
+std::size_t Calls::openCount() const
 {
     return d->calls.size();
 }
@@ -337,7 +337,7 @@
                         {"path", call.head.path},
                         {"isHandedOver", call.http != nullptr},
                         {"uncredited", call.uncredited},
-                        {"pending", call.pending.size() - call.pendingFrom},
+                        {"pending", call.pending.size() - call.pendingOffset},
                         {"hasEntry", call.entry != nullptr}});
     }
     return list.dump();
--- a/src/sidecar/calls.h
+++ b/src/sidecar/calls.h
@@ -17,11 +17,11 @@
     ~Calls();
 
     /// Takes a frame that belongs to calls; false if it is malformed.
-    bool takeFrame(const LinkPtr &link, const Frame &frame);
+    bool handleFrame(const LinkPtr &link, const Frame &frame);
     /// An entry's link is gone: calls not yet handed over never will be.
-    void peerGone(const LinkPtr &link);
+    void onPeerDisconnected(const LinkPtr &link);
 
-    std::size_t open() const;
+    std::size_t openCount() const;
     /// Smoothed time of a call, microseconds; 0 before the first.
     std::uint32_t callMicros() const;
     /// JSON list for the state dump.
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -14,10 +14,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxStepAnswerBytes = 64u << 20;
-constexpr std::uint32_t failuresToUnhealthy = 2; ///< reports missed in a row
-constexpr milliseconds shortestStepOverdue{250}; ///< a busy machine may hold up an engine for as long
-constexpr milliseconds longestStepOverdue{5000}; ///< also before any step was seen
+constexpr std::size_t maxStepResponseBytes = 64u << 20;
+constexpr std::uint32_t failuresUntilUnhealthy = 2; ///< reports missed in a row
+constexpr milliseconds minStepStallTimeout{250};    ///< a busy machine may hold up an engine for as long
+constexpr milliseconds maxStepStallTimeout{5000};   ///< also before any step was seen
 
 // [SECTION] Encoding
 
@@ -75,48 +75,48 @@
     std::deque<PendingItem> queue{};
     std::size_t inFlight = 0;
     bool isSendScheduled = false;
-    bool isAloneInFlight = false;  ///< the step in flight must have the engine for itself
-    std::uint64_t deaths = 0;      ///< of the engine, as seen by broken steps
-    bool hasStepSinceDeath = true; ///< broken steps with none done in between belong to one death
-    EngineState report{};
-    std::uint32_t missedReports = 0;
+    bool isExclusiveInFlight = false; ///< the step in flight must have the engine for itself
+    std::uint64_t engineCrashes = 0;  ///< of the engine, as seen by broken steps
+    bool hasStepSinceCrash = true;    ///< broken steps with none done in between belong to one death
+    EngineState engineState{};
+    std::uint32_t failedStatusQueries = 0;
     bool isRefreshing = false;
     TimeEstimate stepTime{};
     TimeEstimate itemTime{};       ///< time of a step for each stream in it
     std::size_t itemsInFlight = 0; ///< streams in all steps in flight
-    TimePoint movedAt{};           ///< last step ended, or given to an idle engine
+    TimePoint lastProgressAt{};    ///< last step ended, or given to an idle engine
     TimeHistogram &stepHistogram;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    bool maySend() const;
+    bool canSend() const;
     std::uint64_t crashId();
     void scheduleSend();
     void send();
     void finish(std::vector<PendingItem> &items, const HttpResult &result, double seconds);
-    void takeReport(const HttpResult &result);
+    void handleStatus(const HttpResult &result);
 };
 
-bool EngineClient::Private::maySend() const
+bool EngineClient::Private::canSend() const
 {
-    if (queue.empty() || isAloneInFlight) {
+    if (queue.empty() || isExclusiveInFlight) {
         return false;
     }
-    return inFlight < (queue.front().item.isAlone ? 1 : maxStepsInFlight);
+    return inFlight < (queue.front().item.isExclusive ? 1 : maxStepsInFlight);
 }
 
 /// Names the death of the engine that broke a step.
 std::uint64_t EngineClient::Private::crashId()
 {
-    if (hasStepSinceDeath) {
-        ++deaths;
-        hasStepSinceDeath = false;
+    if (hasStepSinceCrash) {
+        ++engineCrashes;
+        hasStepSinceCrash = false;
     }
-    return hash64(context.settings.id, context.incarnation.value + deaths);
+    return hash64(context.settings.id, context.incarnation.value + engineCrashes);
 }
 
 void EngineClient::Private::scheduleSend()
 {
-    if (isSendScheduled || !maySend()) {
+    if (isSendScheduled || !canSend()) {
         return;
     }
     isSendScheduled = true;
@@ -131,28 +131,28 @@
 
 void EngineClient::Private::send()
 {
-    if (!maySend()) {
+    if (!canSend()) {
         return;
     }
     std::vector<PendingItem> items;
     json encoded = json::array();
-    const bool isAlone = queue.front().item.isAlone;
-    while (!queue.empty() && items.size() < (isAlone ? 1 : maxItemsInStep) && queue.front().item.isAlone == isAlone) {
+    const bool isExclusive = queue.front().item.isExclusive;
+    while (!queue.empty() && items.size() < (isExclusive ? 1 : maxItemsInStep) && queue.front().item.isExclusive == isExclusive) {
         items.push_back(std::move(queue.front()));
         queue.pop_front();
         encoded.push_back(encodeItem(items.back().item));
     }
-    isAloneInFlight = isAlone;
+    isExclusiveInFlight = isExclusive;
     HttpClientRequest request;
     request.method = "POST";
     request.path = "/engine/v1/step";
     request.headers = {{"Content-Type", "application/json"}};
     request.body = json{{"items", std::move(encoded)}}.dump(-1, ' ', false, json::error_handler_t::replace);
     request.timeout = context.settings.stepTimeout;
-    request.maxBodyBytes = maxStepAnswerBytes;
+    request.maxBodyBytes = maxStepResponseBytes;
     const TimePoint started = context.clock.now();
     if (inFlight == 0) {
-        movedAt = started;
+        lastProgressAt = started;
     }
     ++inFlight;
     itemsInFlight += items.size();
@@ -163,14 +163,14 @@
         }
         --inFlight;
         itemsInFlight -= shared->size();
-        isAloneInFlight = false;
+        isExclusiveInFlight = false;
         const TimePoint now = context.clock.now();
         const double seconds = std::chrono::duration<double>(now - started).count();
         if (result.isOk()) {
-            movedAt = now;
+            lastProgressAt = now;
             recordTime(stepTime, seconds);
             recordTime(itemTime, seconds / static_cast<double>(shared->size()));
-            hasStepSinceDeath = true;
+            hasStepSinceCrash = true;
             stepHistogram.record(seconds);
         }
         scheduleSend();
@@ -181,19 +181,19 @@
 
 void EngineClient::Private::finish(std::vector<PendingItem> &items, const HttpResult &result, double seconds)
 {
-    StepResult lost;
+    StepResult failedStep;
     std::vector<StepResult> results;
     if (result.failure) {
-        lost.end = result.failure->isTimeout ? StepEnd::TimedOut : StepEnd::Lost;
-        lost.error = result.failure->error.toString();
-        if (lost.end == StepEnd::Lost && result.failure->hasWritten) {
-            lost.crash = crashId();
+        failedStep.end = result.failure->isTimeout ? StepEnd::TimedOut : StepEnd::Lost;
+        failedStep.error = result.failure->error.toString();
+        if (failedStep.end == StepEnd::Lost && result.failure->hasWritten) {
+            failedStep.crash = crashId();
         }
     } else {
-        const json answer = json::parse(result.body, nullptr, false);
-        lost.error = "malformed answer with status " + std::to_string(result.status);
+        const json response = json::parse(result.body, nullptr, false);
+        failedStep.error = "malformed answer with status " + std::to_string(result.status);
         try {
-            for (const json &item : answer.at("items")) {
+            for (const json &item : response.at("items")) {
                 results.push_back(decodeItem(item));
             }
         } catch (const json::exception &) {
@@ -201,7 +201,7 @@
         }
     }
     if (results.size() != items.size()) {
-        results.assign(items.size(), lost);
+        results.assign(items.size(), failedStep);
     }
     const auto share = static_cast<std::uint64_t>(seconds * 1e6 / static_cast<double>(std::max<std::size_t>(items.size(), 1)));
     for (std::size_t i = 0; i < items.size(); ++i) {
@@ -212,34 +212,34 @@
 
 // [SECTION] Health
 
-void EngineClient::Private::takeReport(const HttpResult &result)
+void EngineClient::Private::handleStatus(const HttpResult &result)
 {
-    const json answer = result.isOk() ? json::parse(result.body, nullptr, false) : json();
-    if (!answer.is_object()) {
-        ++missedReports;
-        if (missedReports >= failuresToUnhealthy && report.isHealthy) {
-            report.isHealthy = false;
+    const json response = result.isOk() ? json::parse(result.body, nullptr, false) : json();
+    if (!response.is_object()) {
+        ++failedStatusQueries;
+        if (failedStatusQueries >= failuresUntilUnhealthy && engineState.isHealthy) {
+            engineState.isHealthy = false;
             logEvent(Event::TargetUnhealthy, {{"peer", context.targetAddress.toString()}});
         }
         return;
     }
-    missedReports = 0;
-    if (!report.isHealthy) {
+    failedStatusQueries = 0;
+    if (!engineState.isHealthy) {
         logEvent(Event::TargetHealthy, {{"peer", context.targetAddress.toString()}});
     }
     try {
-        EngineState fresh;
-        fresh.isHealthy = true;
-        fresh.model.value = answer.value("model", "");
-        fresh.version = answer.value("version", "");
-        fresh.adapters = answer.value("adapters", std::vector<std::string>());
-        fresh.layerBegin = answer.value("layerBegin", 0u);
-        fresh.layerEnd = answer.value("layerEnd", 0u);
-        fresh.kvUsed = answer.value("kvUsed", 0u);
-        fresh.kvCapacity = answer.value("kvCapacity", 0u);
-        report = std::move(fresh);
+        EngineState updated;
+        updated.isHealthy = true;
+        updated.model.value = response.value("model", "");
+        updated.version = response.value("version", "");
+        updated.adapters = response.value("adapters", std::vector<std::string>());
+        updated.layerBegin = response.value("layerBegin", 0u);
+        updated.layerEnd = response.value("layerEnd", 0u);
+        updated.kvUsed = response.value("kvUsed", 0u);
+        updated.kvCapacity = response.value("kvCapacity", 0u);
+        engineState = std::move(updated);
     } catch (const json::exception &) {
-        report.isHealthy = false;
+        engineState.isHealthy = false;
     }
 }
 
@@ -292,14 +292,14 @@
                                     return;
                                 }
                                 d->isRefreshing = false;
-                                d->takeReport(result);
+                                d->handleStatus(result);
                                 changed();
                             });
 }
 
-const EngineState &EngineClient::report() const
+const EngineState &EngineClient::engineState() const
 {
-    return d->report;
+    return d->engineState;
 }
 
 std::size_t EngineClient::queued() const
@@ -307,15 +307,15 @@
     return d->queue.size();
 }
 
-bool EngineClient::isMoving() const
+bool EngineClient::isMakingProgress() const
 {
     // Steps take longer when more streams share them, as after a burst: judged by the steps before it, the engine would be
     // taken for stuck just when it has most to do.
-    const milliseconds usual = adaptiveTimeout(d->stepTime, shortestStepOverdue, longestStepOverdue);
+    const milliseconds byStepTime = adaptiveTimeout(d->stepTime, minStepStallTimeout, maxStepStallTimeout);
     const auto items = static_cast<double>(d->itemsInFlight);
-    const TimeEstimate ofAll{d->itemTime.meanSeconds * items, d->itemTime.deviationSeconds * items};
-    const milliseconds forItems = adaptiveTimeout(ofAll, shortestStepOverdue, longestStepOverdue);
-    return d->context.clock.now() - d->movedAt < std::max(usual, forItems);
+    const TimeEstimate itemsEstimate{d->itemTime.meanSeconds * items, d->itemTime.deviationSeconds * items};
+    const milliseconds byItemCount = adaptiveTimeout(itemsEstimate, minStepStallTimeout, maxStepStallTimeout);
+    return d->context.clock.now() - d->lastProgressAt < std::max(byStepTime, byItemCount);
 }
 
 std::uint32_t EngineClient::stepMicros() const
--- a/src/sidecar/engine_client.h
+++ b/src/sidecar/engine_client.h
@@ -19,7 +19,7 @@
     bool isFirst = false;           ///< input values are tokens, not activations
     std::uint32_t promptLength = 0; ///< 0 if not known yet
     std::uint32_t priority = 0;     ///< 0 is lowest
-    bool isAlone = false;           ///< nothing else may be at the engine during this step
+    bool isExclusive = false;       ///< nothing else may be at the engine during this step
 };
 
 /// How a step ended for one stream.
@@ -70,10 +70,10 @@
     /// Asks for the engine's report; `changed` is called when it comes.
     void refresh(std::function<void()> changed);
 
-    const EngineState &report() const;
+    const EngineState &engineState() const;
     std::size_t queued() const;
     /// Whether the engine has ended a step, or was given its first, within the usual time of a step.
-    bool isMoving() const;
+    bool isMakingProgress() const;
     /// Smoothed time of a step, microseconds; 0 before the first.
     std::uint32_t stepMicros() const;
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -44,23 +44,23 @@
     Timer healthTimer;
     Timer drainTimer;
     TimePoint drainStartedAt{};
-    std::function<void()> drained;
+    std::function<void()> onDrained;
     bool isTargetHealthy = false;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     Private(EventLoop &eventLoop, const Clock &systemClock, SidecarSettings sidecarSettings);
-    Result<void> makeParts();
+    Result<void> createComponents();
     Result<void> listen();
 
-    bool takeFrame(const LinkPtr &link, const Frame &frame);
-    bool takeConfiguration(const LinkPtr &link, const Frame &frame);
-    bool takeDatagram(const Frame &frame);
-    void checkTarget();
+    bool handleFrame(const LinkPtr &link, const Frame &frame);
+    bool handleConfigurationUpdate(const LinkPtr &link, const Frame &frame);
+    bool handleDatagram(const Frame &frame);
+    void probeTarget();
     void describe(Announcement &announcement) const;
     TargetState state() const;
-    std::size_t open() const;
+    std::size_t openCount() const;
     void checkDrained();
-    json view() const;
+    json stateView() const;
     void refreshMetrics();
 };
 
@@ -78,7 +78,7 @@
                  })
     , healthTimer(eventLoop,
                   [this] {
-                      checkTarget();
+                      probeTarget();
                   })
     , drainTimer(eventLoop, [this] {
         checkDrained();
@@ -96,7 +96,7 @@
     return addresses;
 }
 
-Result<void> Sidecar::Private::makeParts()
+Result<void> Sidecar::Private::createComponents()
 {
     if (!settings.historyFile.empty() && !history.openFile(settings.historyFile)) {
         return fail("open history", settings.historyFile, "cannot be written");
@@ -108,11 +108,11 @@
     const LinkIdentity identity{{Role::Sidecar, settings.id, incarnation}, wireVersion};
     LinkHandlers outgoing;
     outgoing.onFrame = [this](const LinkPtr &link, const Frame &frame) {
-        return takeFrame(link, frame);
+        return handleFrame(link, frame);
     };
     outgoing.onClosed = [this](const LinkPtr &link, const Error &error) {
         logEvent(Event::LinkLost, {{"peer", link->peerName()}, {"reason", error.text}});
-        stages->nextStageGone(link->peerName(), error);
+        stages->onNextStageDisconnected(link->peerName(), error);
     };
     peers = std::make_unique<LinkPool>(loop, identity, outgoing);
     context.reset(new SidecarContext{loop, clock, settings, incarnation, targetAddress, client, *peers, metrics, history});
@@ -121,7 +121,7 @@
     stages = std::make_unique<Stages>(*context, *engine);
     calls = std::make_unique<Calls>(*context);
     datagrams = std::make_unique<Datagrams>(loop, wireVersion, [this](const Frame &frame, const Address &) {
-        return takeDatagram(frame);
+        return handleDatagram(frame);
     });
     announcer = std::make_unique<Announcer>(*context, *store, *datagrams, std::move(seeds), [this](Announcement &announcement) {
         describe(announcement);
@@ -130,13 +130,13 @@
     incoming.onFrame = outgoing.onFrame;
     incoming.onClosed = [this](const LinkPtr &link, const Error &error) {
         logEvent(Event::LinkLost, {{"peer", link->peer().process}, {"reason", error.text}});
-        stages->peerGone(link);
-        calls->peerGone(link);
+        stages->onPeerDisconnected(link);
+        calls->onPeerDisconnected(link);
     };
     links = std::make_unique<LinkServer>(loop, identity, incoming);
     OperatorViews views;
     views.state = [this] {
-        return view().dump();
+        return stateView().dump();
     };
     views.status = views.state;
     views.refreshMetrics = [this] {
@@ -160,31 +160,31 @@
 
 // [SECTION] Frames
 
-bool Sidecar::Private::takeFrame(const LinkPtr &link, const Frame &frame)
+bool Sidecar::Private::handleFrame(const LinkPtr &link, const Frame &frame)
 {
     switch (frame.message) {
     case ConfigurationUpdate::messageId:
-        return takeConfiguration(link, frame);
+        return handleConfigurationUpdate(link, frame);
     case CallRequest::messageId:
     case CallBody::messageId:
     case CallCredit::messageId:
     case CallCancel::messageId:
-        return isApplication && calls->takeFrame(link, frame);
+        return isApplication && calls->handleFrame(link, frame);
     default:
-        return !isApplication && stages->takeFrame(link, frame);
+        return !isApplication && stages->handleFrame(link, frame);
     }
 }
 
-bool Sidecar::Private::takeConfiguration(const LinkPtr &link, const Frame &frame)
+bool Sidecar::Private::handleConfigurationUpdate(const LinkPtr &link, const Frame &frame)
 {
     ConfigurationUpdate update;
     if (!decodeFrame(frame, update)) {
         return false;
     }
-    Configuration fresh;
-    switch (applyUpdate(configuration, update, fresh)) {
+    Configuration updated;
+    switch (applyUpdate(configuration, update, updated)) {
     case UpdateResult::Applied:
-        configuration = std::move(fresh);
+        configuration = std::move(updated);
         logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"from", link->peer().process}});
         if (history.isOn()) {
             history.record("configuration", {{"version", configuration.version.value}});
@@ -204,20 +204,20 @@
     return true;
 }
 
-bool Sidecar::Private::takeDatagram(const Frame &frame)
+bool Sidecar::Private::handleDatagram(const Frame &frame)
 {
     return frame.message == EntryAnnouncement::messageId && decodeAnd<EntryAnnouncement>(frame, [this](const EntryAnnouncement &entry) {
-               announcer->heardEntry(entry);
+               announcer->handleEntryAnnouncement(entry);
            });
 }
 
 // [SECTION] Announcing
 
-void Sidecar::Private::checkTarget()
+void Sidecar::Private::probeTarget()
 {
     if (!isApplication) {
         engine->refresh([this, wasHealthy = isTargetHealthy] {
-            isTargetHealthy = engine->report().isHealthy;
+            isTargetHealthy = engine->engineState().isHealthy;
             if (isTargetHealthy != wasHealthy) {
                 announcer->announce();
             }
@@ -252,48 +252,48 @@
 {
     announcement.state = state();
     announcement.configuration = configuration.version;
-    announcement.streams = static_cast<std::uint32_t>(open());
+    announcement.streams = static_cast<std::uint32_t>(openCount());
     if (isApplication) {
         announcement.kind = TargetKind::Application;
         announcement.service.value = settings.service;
         announcement.stepMicros = calls->callMicros();
         return;
     }
-    const EngineState &report = engine->report();
+    const EngineState &engineState = engine->engineState();
     announcement.kind = TargetKind::Engine;
-    announcement.model = report.model;
-    announcement.version = report.version;
-    announcement.adapters = report.adapters;
-    announcement.layerBegin = report.layerBegin;
-    announcement.layerEnd = report.layerEnd;
+    announcement.model = engineState.model;
+    announcement.version = engineState.version;
+    announcement.adapters = engineState.adapters;
+    announcement.layerBegin = engineState.layerBegin;
+    announcement.layerEnd = engineState.layerEnd;
     announcement.queued = static_cast<std::uint32_t>(engine->queued());
     announcement.stepMicros = engine->stepMicros();
-    announcement.kvUsed = report.kvUsed;
-    announcement.kvCapacity = report.kvCapacity;
+    announcement.kvUsed = engineState.kvUsed;
+    announcement.kvCapacity = engineState.kvCapacity;
 }
 
-std::size_t Sidecar::Private::open() const
+std::size_t Sidecar::Private::openCount() const
 {
-    return isApplication ? calls->open() : stages->open();
+    return isApplication ? calls->openCount() : stages->openCount();
 }
 
 void Sidecar::Private::checkDrained()
 {
     const bool isLate = clock.now() - drainStartedAt >= settings.drainTimeout;
-    if (open() > 0 && !isLate) {
+    if (openCount() > 0 && !isLate) {
         return;
     }
-    if (open() > 0) {
-        logEvent(Event::DrainTimeout, {{"open", std::to_string(open())}});
+    if (openCount() > 0) {
+        logEvent(Event::DrainTimeout, {{"open", std::to_string(openCount())}});
     }
     drainTimer.stop();
-    history.record("drained", {{"open", std::uint64_t{open()}}});
-    drained();
+    history.record("drained", {{"open", std::uint64_t{openCount()}}});
+    onDrained();
 }
 
 // [SECTION] Views
 
-json Sidecar::Private::view() const
+json Sidecar::Private::stateView() const
 {
     json entries = json::array();
     for (const Address &entry : announcer->entries()) {
@@ -321,10 +321,10 @@
         result["calls"] = json::parse(calls->dump());
         return result;
     }
-    const EngineState &report = engine->report();
-    result["engine"] = {{"model", report.model.value},     {"version", report.version},   {"adapters", report.adapters},
-                        {"layerBegin", report.layerBegin}, {"layerEnd", report.layerEnd}, {"kvUsed", report.kvUsed},
-                        {"kvCapacity", report.kvCapacity}, {"queued", engine->queued()},  {"stepMicros", engine->stepMicros()}};
+    const EngineState &engineState = engine->engineState();
+    result["engine"] = {{"model", engineState.model.value},     {"version", engineState.version},   {"adapters", engineState.adapters},
+                        {"layerBegin", engineState.layerBegin}, {"layerEnd", engineState.layerEnd}, {"kvUsed", engineState.kvUsed},
+                        {"kvCapacity", engineState.kvCapacity}, {"queued", engine->queued()},       {"stepMicros", engine->stepMicros()}};
     result["keptBytes"] = stages->keptBytes();
     result["streams"] = json::parse(stages->dump());
     return result;
@@ -332,7 +332,7 @@
 
 void Sidecar::Private::refreshMetrics()
 {
-    metrics.gauge("parsley_streams_open", "Streams or calls open.") = static_cast<double>(open());
+    metrics.gauge("parsley_streams_open", "Streams or calls open.") = static_cast<double>(openCount());
     metrics.gauge("parsley_kept_activation_bytes", "Bytes of kept activations.") = static_cast<double>(stages->keptBytes());
     metrics.gauge("parsley_configuration_version", "Configuration version in force.") = static_cast<double>(configuration.version.value);
 }
@@ -353,12 +353,12 @@
 
 Result<void> Sidecar::start()
 {
-    BOOST_LEAF_CHECK(d->makeParts());
+    BOOST_LEAF_CHECK(d->createComponents());
     BOOST_LEAF_CHECK(d->listen());
     d->announcer->start(d->linkAddress);
     d->sweepTimer.startRepeating(sweepInterval);
     d->healthTimer.startRepeating(d->settings.announceInterval);
-    d->checkTarget();
+    d->probeTarget();
     logEvent(Event::ProcessStarted, {{"id", d->settings.id}, {"links", d->linkAddress.toString()}, {"operators", d->operatorAddress.toString()}});
     return {};
 }
@@ -368,10 +368,10 @@
     if (d->context->isDraining) {
         return;
     }
-    logEvent(Event::DrainStarted, {{"open", std::to_string(d->open())}});
+    logEvent(Event::DrainStarted, {{"open", std::to_string(d->openCount())}});
     d->context->isDraining = true;
     d->drainStartedAt = d->clock.now();
-    d->drained = std::move(finished);
+    d->onDrained = std::move(finished);
     d->announcer->announce();
     d->drainTimer.startRepeating(milliseconds(100));
 }
@@ -391,14 +391,14 @@
     return d->history;
 }
 
-std::size_t Sidecar::open() const
+std::size_t Sidecar::openCount() const
 {
-    return d->open();
+    return d->openCount();
 }
 
 std::string Sidecar::state() const
 {
-    return d->view().dump();
+    return d->stateView().dump();
 }
 
 } // namespace Parsleytrail
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -32,7 +32,7 @@
     Address operatorAddress() const;
     History &history();
     /// Streams or calls open.
-    std::size_t open() const;
+    std::size_t openCount() const;
     /// The state dump, JSON.
     std::string state() const;
 
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -12,24 +12,24 @@
 
 // [SECTION] State
 
-constexpr std::size_t maxEarlyFrames = 64;    ///< frames kept for one stream that is not open yet
-constexpr std::size_t maxEarlyStreams = 4096; ///< streams for which early frames are kept
-constexpr milliseconds earlyFrameLife{5000};  ///< an OpenStage that has not come by then won't come
+constexpr std::size_t maxEarlyFrames = 64;       ///< frames kept for one stream that is not open yet
+constexpr std::size_t maxEarlyStreams = 4096;    ///< streams for which early frames are kept
+constexpr milliseconds earlyFrameLifetime{5000}; ///< an OpenStage that has not come by then won't come
 
 namespace
 {
 
 /// A stream with what the sidecar needs around its pure state.
-struct HeldStream {
-    StageStream core;                     ///< positions and results
-    OpenStage open;                       ///< newest
-    LinkPtr entry;                        ///< where failures and tokens go; null once it closed
-    TimePoint orphanedAt{};               ///< when the entry's link closed
-    std::uint64_t generation = 0;         ///< tells apart streams that reuse a request's id here
-    bool isAtEngine = false;              ///< the engine knows the stream
-    bool isSuspect = false;               ///< the next step runs alone
-    std::uint64_t acceleratorMicros = 0;  ///< spent on it here
-    std::uint32_t askedFrom = UINT32_MAX; ///< position of the last ResumeFrom sent in this attempt
+struct SidecarStream {
+    StageStream core;                         ///< positions and results
+    OpenStage open;                           ///< newest
+    LinkPtr entry;                            ///< where failures and tokens go; null once it closed
+    TimePoint orphanedAt{};                   ///< when the entry's link closed
+    std::uint64_t generation = 0;             ///< tells apart streams that reuse a request's id here
+    bool isAtEngine = false;                  ///< the engine knows the stream
+    bool isSuspect = false;                   ///< the next step runs alone
+    std::uint64_t acceleratorMicros = 0;      ///< spent on it here
+    std::uint32_t requestedFrom = UINT32_MAX; ///< position of the last ResumeFrom sent in this attempt
 };
 
 /// Frames that came before their OpenStage: neighbours may get theirs first.
@@ -60,9 +60,9 @@
     {
     }
 
-    void count(InputDecision verdict)
+    void count(InputDecision decision)
     {
-        switch (verdict) {
+        switch (decision) {
         case InputDecision::Duplicate:
             ++duplicate;
             return;
@@ -96,10 +96,10 @@
     std::uint64_t &opened;
     std::uint64_t &failed;
     std::uint64_t &positionsApplied;
-    std::unordered_map<RequestId, HeldStream> streams;
-    std::unordered_map<RequestId, EarlyFrames> early;
+    std::unordered_map<RequestId, SidecarStream> streams;
+    std::unordered_map<RequestId, EarlyFrames> earlyFrames;
     std::uint64_t nextGeneration = 1;
-    std::size_t kept = 0; ///< bytes of kept activations
+    std::size_t totalKeptBytes = 0; ///< bytes of kept activations
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     Private(SidecarContext &sidecarContext, EngineClient &engineClient)
@@ -112,44 +112,44 @@
     {
     }
 
-    HeldStream *find(const RequestId &request);
-    EarlyFrames *earlyFor(const RequestId &request);
+    SidecarStream *find(const RequestId &request);
+    EarlyFrames *earlyFramesFor(const RequestId &request);
     void erase(const RequestId &request);
-    void report(const HeldStream &stream, std::uint32_t stageIndex, FailureKind kind, std::string step, std::string peer, std::uint64_t crash = 0);
+    void reportFailure(const SidecarStream &stream, std::uint32_t stageIndex, FailureKind kind, std::string step, std::string peer, std::uint64_t crash = 0);
     static void refuse(const LinkPtr &link, const OpenStage &open, FailureKind kind, const char *step);
 
-    void askResume(HeldStream &stream);
-    void passOn(HeldStream &stream);
-    void passTokens(HeldStream &stream);
-    void feedBack(HeldStream &stream, const TokenFrame &frame);
-    void limitKept();
+    void requestResume(SidecarStream &stream);
+    void sendActivations(SidecarStream &stream);
+    void sendTokens(SidecarStream &stream);
+    void sendTokenToFirstStage(SidecarStream &stream, const TokenFrame &frame);
+    void limitKeptResults();
 
-    void pump(HeldStream &stream);
+    void advance(SidecarStream &stream);
     void finishStep(const RequestId &request, std::uint64_t generation, std::uint32_t position, const StepResult &result);
-    bool noteTokens(HeldStream &stream, const StepResult &result);
+    bool recordTokens(SidecarStream &stream, const StepResult &result);
 
     void open(const LinkPtr &link, const OpenStage &open);
-    void replayEarly(const RequestId &request);
-    void takeActivationFrame(const ActivationFrame &frame);
-    void takeTokenFrame(const TokenFrame &frame);
-    void takeResume(const ResumeFrom &frame);
+    void replayEarlyFrames(const RequestId &request);
+    void handleActivationFrame(const ActivationFrame &frame);
+    void handleTokenFrame(const TokenFrame &frame);
+    void handleResume(const ResumeFrom &frame);
     void close(const CloseStream &frame);
-    void answerQuery(const LinkPtr &link, const StageQuery &query);
+    void handleQuery(const LinkPtr &link, const StageQuery &query);
 };
 
-HeldStream *Stages::Private::find(const RequestId &request)
+SidecarStream *Stages::Private::find(const RequestId &request)
 {
     const auto it = streams.find(request);
     return it == streams.end() ? nullptr : &it->second;
 }
 
-EarlyFrames *Stages::Private::earlyFor(const RequestId &request)
+EarlyFrames *Stages::Private::earlyFramesFor(const RequestId &request)
 {
-    const bool isFull = early.size() >= maxEarlyStreams && !early.count(request);
+    const bool isFull = earlyFrames.size() >= maxEarlyStreams && !earlyFrames.count(request);
     if (isFull) {
         return nullptr;
     }
-    EarlyFrames &frames = early[request];
+    EarlyFrames &frames = earlyFrames[request];
     if (frames.since == TimePoint{}) {
         frames.since = context.clock.now();
     }
@@ -162,14 +162,15 @@
     if (it == streams.end()) {
         return;
     }
-    kept -= it->second.core.kept.size() * sizeof(std::uint64_t);
+    totalKeptBytes -= it->second.core.kept.size() * sizeof(std::uint64_t);
     if (it->second.isAtEngine) {
         engine.cancel({request});
     }
     streams.erase(it);
 }
 
-void Stages::Private::report(const HeldStream &stream, std::uint32_t stageIndex, FailureKind kind, std::string step, std::string peer, std::uint64_t crash)
+void Stages::Private::reportFailure(const SidecarStream &stream, std::uint32_t stageIndex, FailureKind kind, std::string step, std::string peer,
+                                    std::uint64_t crash)
 {
     ++failed;
     if (stream.entry) {
@@ -184,18 +185,18 @@
 
 // [SECTION] Passing on
 
-void Stages::Private::askResume(HeldStream &stream)
+void Stages::Private::requestResume(SidecarStream &stream)
 {
     const std::uint32_t from = received(stream.core);
-    if (stream.core.isFirst || stream.askedFrom == from) {
+    if (stream.core.isFirst || stream.requestedFrom == from) {
         return;
     }
-    stream.askedFrom = from;
+    stream.requestedFrom = from;
     const std::uint32_t before = stream.core.stageIndex - 1;
     context.peers.link(addressOf(stream.open.stages[before]))->send(ResumeFrom{stream.core.request, stream.core.attempt, before, from});
 }
 
-void Stages::Private::passOn(HeldStream &stream)
+void Stages::Private::sendActivations(SidecarStream &stream)
 {
     StageStream &core = stream.core;
     const std::uint32_t position = core.sent;
@@ -214,7 +215,7 @@
     context.peers.link(addressOf(stream.open.stages[frame.stageIndex]))->send(frame);
 }
 
-void Stages::Private::feedBack(HeldStream &stream, const TokenFrame &frame)
+void Stages::Private::sendTokenToFirstStage(SidecarStream &stream, const TokenFrame &frame)
 {
     if (stream.core.isFirst) {
         handleToken(stream.core, frame.attempt, frame.index, frame.token);
@@ -223,7 +224,7 @@
     context.peers.link(addressOf(stream.open.stages.front()))->send(frame);
 }
 
-void Stages::Private::passTokens(HeldStream &stream)
+void Stages::Private::sendTokens(SidecarStream &stream)
 {
     StageStream &core = stream.core;
     while (core.isLast && core.sent < core.tokens.size()) {
@@ -234,18 +235,18 @@
             stream.entry->send(frame);
         }
         if (token.finish == FinishReason::None) {
-            feedBack(stream, frame);
+            sendTokenToFirstStage(stream, frame);
         }
     }
 }
 
 /// Frees kept results of the largest streams first. They are only a shortcut: a stage that must be replaced behind such
 /// a stream is then fed by running this stage again.
-void Stages::Private::limitKept()
+void Stages::Private::limitKeptResults()
 {
     const auto limit = static_cast<std::size_t>(context.settings.keptActivationBytes);
-    while (kept > limit) {
-        HeldStream *largest = nullptr;
+    while (totalKeptBytes > limit) {
+        SidecarStream *largest = nullptr;
         for (auto &[request, stream] : streams) {
             if (!largest || stream.core.kept.size() > largest->core.kept.size()) {
                 largest = &stream;
@@ -255,16 +256,16 @@
         if (freed == 0) {
             return;
         }
-        kept -= freed;
+        totalKeptBytes -= freed;
     }
 }
 
 // [SECTION] Engine steps
 
-void Stages::Private::pump(HeldStream &stream)
+void Stages::Private::advance(SidecarStream &stream)
 {
-    passOn(stream);
-    passTokens(stream);
+    sendActivations(stream);
+    sendTokens(stream);
     std::optional<StepInput> input = beginStep(stream.core);
     if (!input) {
         return;
@@ -278,7 +279,7 @@
     item.isFirst = stream.core.isFirst;
     item.promptLength = stream.core.promptLength;
     item.priority = stream.open.priority;
-    item.isAlone = stream.isSuspect;
+    item.isExclusive = stream.isSuspect;
     if (input->withPrompt) {
         item.prompt = stream.open.prompt;
     }
@@ -293,7 +294,7 @@
                   });
 }
 
-bool Stages::Private::noteTokens(HeldStream &stream, const StepResult &result)
+bool Stages::Private::recordTokens(SidecarStream &stream, const StepResult &result)
 {
     for (const KeptToken &token : result.tokens) {
         if (stream.core.isFinished) {
@@ -308,7 +309,7 @@
 
 void Stages::Private::finishStep(const RequestId &request, std::uint64_t generation, std::uint32_t position, const StepResult &result)
 {
-    HeldStream *stream = find(request);
+    SidecarStream *stream = find(request);
     if (!stream) {
         // The stream was closed while the step waited here or at the engine. The cancel may have overtaken the step, which
         // then began the stream anew there; nobody would ever cancel it again.
@@ -322,7 +323,7 @@
         const FailureKind kind = result.end == StepEnd::TimedOut ? FailureKind::TargetTimeout
                                  : result.end == StepEnd::Lost   ? FailureKind::TargetLost
                                                                  : FailureKind::Refused;
-        report(*stream, stream->core.stageIndex, kind, "engine step: " + result.error.substr(0, 100), context.targetAddress.toString(), result.crash);
+        reportFailure(*stream, stream->core.stageIndex, kind, "engine step: " + result.error.substr(0, 100), context.targetAddress.toString(), result.crash);
         // Whether the engine applied the positions is not known, so that its state can't be used again.
         return erase(request);
     }
@@ -331,7 +332,7 @@
     const std::size_t keptBefore = stream->core.kept.size();
     endStep(stream->core, result.promptLength, result.positions, result.activations);
     positionsApplied += result.positions;
-    kept += (stream->core.kept.size() - keptBefore) * sizeof(std::uint64_t);
+    totalKeptBytes += (stream->core.kept.size() - keptBefore) * sizeof(std::uint64_t);
     if (context.history.isOn()) {
         context.history.record("applied", {{"request", request.value},
                                            {"attempt", std::uint64_t{stream->core.attempt.value}},
@@ -341,13 +342,13 @@
                                            {"layerEnd", std::uint64_t{stream->core.layerEnd}},
                                            {"generation", generation}});
     }
-    if (!noteTokens(*stream, result)) {
+    if (!recordTokens(*stream, result)) {
         logEvent(Event::TokenMismatch, {{"request", request.value}, {"target", context.settings.id}});
-        report(*stream, stream->core.stageIndex, FailureKind::ResultMismatch, "compare token", context.targetAddress.toString());
+        reportFailure(*stream, stream->core.stageIndex, FailureKind::ResultMismatch, "compare token", context.targetAddress.toString());
         return erase(request);
     }
-    pump(*stream);
-    limitKept();
+    advance(*stream);
+    limitKeptResults();
 }
 
 // [SECTION] Frames
@@ -357,14 +358,14 @@
     if (open.stageIndex >= open.stages.size()) {
         return;
     }
-    HeldStream *known = find(open.request);
+    SidecarStream *known = find(open.request);
     const StageAddress &self = open.stages[open.stageIndex];
-    const EngineState &report = engine.report();
-    const bool isForMe = self.target.value == context.settings.id && self.incarnation == context.incarnation;
-    const bool holdsLayers =
-        self.layerBegin == report.layerBegin && self.layerEnd == report.layerEnd && open.model == report.model && open.version == report.version;
-    if (!isForMe || !holdsLayers) {
-        return refuse(link, open, FailureKind::Refused, isForMe ? "open stage: other layers are loaded" : "open stage: other incarnation");
+    const EngineState &engineState = engine.engineState();
+    const bool isAddressedHere = self.target.value == context.settings.id && self.incarnation == context.incarnation;
+    const bool holdsLayers = self.layerBegin == engineState.layerBegin && self.layerEnd == engineState.layerEnd && open.model == engineState.model
+                             && open.version == engineState.version;
+    if (!isAddressedHere || !holdsLayers) {
+        return refuse(link, open, FailureKind::Refused, isAddressedHere ? "open stage: other layers are loaded" : "open stage: other incarnation");
     }
     if (!known && context.isDraining) {
         return refuse(link, open, FailureKind::Draining, "open stage");
@@ -386,83 +387,83 @@
     ++opened;
     const bool startsOver = received(known->core) == 0 && known->isAtEngine;
     if (startsOver) {
-        kept -= keptBefore * sizeof(std::uint64_t);
+        totalKeptBytes -= keptBefore * sizeof(std::uint64_t);
         known->generation = nextGeneration++;
         known->isAtEngine = false;
     }
     known->open = open;
     known->entry = link;
     known->isSuspect = open.isSuspect;
-    known->askedFrom = UINT32_MAX;
+    known->requestedFrom = UINT32_MAX;
     if (open.attempt > Attempt{1}) {
-        askResume(*known);
+        requestResume(*known);
     }
-    replayEarly(open.request);
-    if (HeldStream *stream = find(open.request)) {
-        pump(*stream);
+    replayEarlyFrames(open.request);
+    if (SidecarStream *stream = find(open.request)) {
+        advance(*stream);
     }
 }
 
-void Stages::Private::replayEarly(const RequestId &request)
+void Stages::Private::replayEarlyFrames(const RequestId &request)
 {
-    const auto it = early.find(request);
-    if (it == early.end()) {
+    const auto it = earlyFrames.find(request);
+    if (it == earlyFrames.end()) {
         return;
     }
     const EarlyFrames frames = std::move(it->second);
-    early.erase(it);
+    earlyFrames.erase(it);
     for (const ResumeFrom &frame : frames.resumes) {
-        takeResume(frame);
+        handleResume(frame);
     }
     for (const ActivationFrame &frame : frames.activations) {
-        takeActivationFrame(frame);
+        handleActivationFrame(frame);
     }
     for (const TokenFrame &frame : frames.tokens) {
-        takeTokenFrame(frame);
+        handleTokenFrame(frame);
     }
 }
 
-void Stages::Private::takeActivationFrame(const ActivationFrame &frame)
+void Stages::Private::handleActivationFrame(const ActivationFrame &frame)
 {
-    HeldStream *stream = find(frame.request);
-    const InputDecision verdict = stream ? handleActivations(stream->core, frame) : InputDecision::NewerAttempt;
-    if (verdict == InputDecision::NewerAttempt) {
-        if (EarlyFrames *frames = earlyFor(frame.request)) {
+    SidecarStream *stream = find(frame.request);
+    const InputDecision decision = stream ? handleActivations(stream->core, frame) : InputDecision::NewerAttempt;
+    if (decision == InputDecision::NewerAttempt) {
+        if (EarlyFrames *frames = earlyFramesFor(frame.request)) {
             frames->activations.push_back(frame);
         }
         return;
     }
-    drops.count(verdict);
-    if (verdict == InputDecision::Gap) {
-        askResume(*stream);
+    drops.count(decision);
+    if (decision == InputDecision::Gap) {
+        requestResume(*stream);
     }
-    if (verdict == InputDecision::Accept) {
-        stream->askedFrom = UINT32_MAX;
-        pump(*stream);
+    if (decision == InputDecision::Accept) {
+        stream->requestedFrom = UINT32_MAX;
+        advance(*stream);
     }
 }
 
-void Stages::Private::takeTokenFrame(const TokenFrame &frame)
+void Stages::Private::handleTokenFrame(const TokenFrame &frame)
 {
-    HeldStream *stream = find(frame.request);
-    const InputDecision verdict = stream ? handleToken(stream->core, frame.attempt, frame.index, frame.token) : InputDecision::NewerAttempt;
-    if (verdict == InputDecision::NewerAttempt) {
-        if (EarlyFrames *frames = earlyFor(frame.request)) {
+    SidecarStream *stream = find(frame.request);
+    const InputDecision decision = stream ? handleToken(stream->core, frame.attempt, frame.index, frame.token) : InputDecision::NewerAttempt;
+    if (decision == InputDecision::NewerAttempt) {
+        if (EarlyFrames *frames = earlyFramesFor(frame.request)) {
             frames->tokens.push_back(frame);
         }
         return;
     }
-    drops.count(verdict);
-    if (verdict == InputDecision::Accept) {
-        pump(*stream);
+    drops.count(decision);
+    if (decision == InputDecision::Accept) {
+        advance(*stream);
     }
 }
 
-void Stages::Private::takeResume(const ResumeFrom &frame)
+void Stages::Private::handleResume(const ResumeFrom &frame)
 {
-    HeldStream *stream = find(frame.request);
+    SidecarStream *stream = find(frame.request);
     if (!stream || frame.attempt > stream->core.attempt) {
-        if (EarlyFrames *frames = earlyFor(frame.request)) {
+        if (EarlyFrames *frames = earlyFramesFor(frame.request)) {
             frames->resumes.push_back(frame);
         }
         return;
@@ -473,16 +474,16 @@
     }
     if (!resumeFrom(stream->core, frame.position)) {
         // The results were dropped to save memory: this stage must run again from its own inputs.
-        report(*stream, stream->core.stageIndex, FailureKind::InputGap, "resume", "");
+        reportFailure(*stream, stream->core.stageIndex, FailureKind::InputGap, "resume", "");
         return erase(frame.request);
     }
-    pump(*stream);
+    advance(*stream);
 }
 
 void Stages::Private::close(const CloseStream &frame)
 {
-    early.erase(frame.request);
-    const HeldStream *stream = find(frame.request);
+    earlyFrames.erase(frame.request);
+    const SidecarStream *stream = find(frame.request);
     if (stream && frame.attempt >= stream->core.attempt) {
         if (stream->entry) {
             stream->entry->send(StageUsage{frame.request, {context.settings.id}, stream->acceleratorMicros});
@@ -491,21 +492,21 @@
     }
 }
 
-void Stages::Private::answerQuery(const LinkPtr &link, const StageQuery &query)
+void Stages::Private::handleQuery(const LinkPtr &link, const StageQuery &query)
 {
-    StageReport answer;
-    answer.request = query.request;
-    answer.askedAttempt = query.attempt;
-    answer.stageIndex = query.stageIndex;
-    if (const HeldStream *stream = find(query.request)) {
-        answer.attempt = stream->core.attempt;
-        answer.stageIndex = stream->core.stageIndex;
-        answer.received = received(stream->core);
-        answer.applied = stream->core.applied;
-        answer.sent = stream->core.sent;
-        answer.isEngineMoving = engine.isMoving();
-    }
-    link->send(answer);
+    StageReport response;
+    response.request = query.request;
+    response.askedAttempt = query.attempt;
+    response.stageIndex = query.stageIndex;
+    if (const SidecarStream *stream = find(query.request)) {
+        response.attempt = stream->core.attempt;
+        response.stageIndex = stream->core.stageIndex;
+        response.received = received(stream->core);
+        response.applied = stream->core.applied;
+        response.sent = stream->core.sent;
+        response.isEngineMoving = engine.isMakingProgress();
+    }
+    link->send(response);
 }
 
 // [SECTION] Stages
@@ -517,7 +518,7 @@
 
 Stages::~Stages() = default;
 
-bool Stages::takeFrame(const LinkPtr &link, const Frame &frame)
+bool Stages::handleFrame(const LinkPtr &link, const Frame &frame)
 {
     switch (frame.message) {
     case OpenStage::messageId:
@@ -526,15 +527,15 @@
         });
     case ActivationFrame::messageId:
         return decodeAnd<ActivationFrame>(frame, [&](const ActivationFrame &message) {
-            d->takeActivationFrame(message);
+            d->handleActivationFrame(message);
         });
     case TokenFrame::messageId:
         return decodeAnd<TokenFrame>(frame, [&](const TokenFrame &message) {
-            d->takeTokenFrame(message);
+            d->handleTokenFrame(message);
         });
     case ResumeFrom::messageId:
         return decodeAnd<ResumeFrom>(frame, [&](const ResumeFrom &message) {
-            d->takeResume(message);
+            d->handleResume(message);
         });
     case CloseStream::messageId:
         return decodeAnd<CloseStream>(frame, [&](const CloseStream &message) {
@@ -542,7 +543,7 @@
         });
     case StageQuery::messageId:
         return decodeAnd<StageQuery>(frame, [&](const StageQuery &message) {
-            d->answerQuery(link, message);
+            d->handleQuery(link, message);
         });
     default:
         return false;
@@ -551,7 +552,7 @@
 
 // [SECTION] Peers
 
-void Stages::peerGone(const LinkPtr &link)
+void Stages::onPeerDisconnected(const LinkPtr &link)
 {
     for (auto &[request, stream] : d->streams) {
         if (stream.entry == link) {
@@ -561,15 +562,15 @@
     }
 }
 
-void Stages::nextStageGone(const std::string &address, const Error &error)
+void Stages::onNextStageDisconnected(const std::string &address, const Error &error)
 {
-    const auto sendsTo = [&](const HeldStream &stream, std::uint32_t stage) {
+    const auto sendsTo = [&](const SidecarStream &stream, std::uint32_t stage) {
         return stage < stream.open.stages.size() && addressOf(stream.open.stages[stage]).toString() == address;
     };
     for (auto &[request, stream] : d->streams) {
         const std::uint32_t next = stream.core.isLast ? 0 : stream.core.stageIndex + 1;
         if (sendsTo(stream, next)) {
-            d->report(stream, next, FailureKind::NextStageLost, error.step, address);
+            d->reportFailure(stream, next, FailureKind::NextStageLost, error.step, address);
         }
     }
 }
@@ -589,19 +590,19 @@
     if (!orphans.empty()) {
         logEvent(Event::OrphansFreed, {{"streams", std::to_string(orphans.size())}});
     }
-    std::erase_if(d->early, [&](const auto &item) {
-        return now - item.second.since >= earlyFrameLife;
+    std::erase_if(d->earlyFrames, [&](const auto &item) {
+        return now - item.second.since >= earlyFrameLifetime;
     });
 }
 
-std::size_t Stages::open() const
+std::size_t Stages::openCount() const
 {
     return d->streams.size();
 }
 
 std::size_t Stages::keptBytes() const
 {
-    return d->kept;
+    return d->totalKeptBytes;
 }
 
 std::string Stages::dump() const
--- a/src/sidecar/stages.h
+++ b/src/sidecar/stages.h
@@ -14,15 +14,15 @@
     ~Stages();
 
     /// Takes a frame that belongs to streams; false if it is malformed.
-    bool takeFrame(const LinkPtr &link, const Frame &frame);
+    bool handleFrame(const LinkPtr &link, const Frame &frame);
     /// A link from an entry or another sidecar is gone: its streams are freed unless the entry takes them over soon.
-    void peerGone(const LinkPtr &link);
+    void onPeerDisconnected(const LinkPtr &link);
     /// A link that this sidecar made is gone: streams that send over it have lost their next stage.
-    void nextStageGone(const std::string &address, const Error &error);
+    void onNextStageDisconnected(const std::string &address, const Error &error);
     /// Frees streams without an entry, and old frames that no stream wanted. Called now and then.
     void sweep();
 
-    std::size_t open() const;
+    std::size_t openCount() const;
     /// Bytes of kept activations.
     std::size_t keptBytes() const;
     /// One JSON object for each stream, for the state dump.
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -217,7 +217,7 @@
             return engine->openStreams() == 0;
         });
         const bool sidecars = std::all_of(cluster.sidecars.begin(), cluster.sidecars.end(), [](const auto &sidecar) {
-            return sidecar->open() == 0;
+            return sidecar->openCount() == 0;
         });
         return engines && sidecars;
     });
@@ -276,7 +276,7 @@
         return cluster.engineOfStage(1) != engine;
     });
     cluster.wait("the sidecar to be free", [&] {
-        return cluster.sidecars[engine]->open() == 0;
+        return cluster.sidecars[engine]->openCount() == 0;
     });
     BOOST_TEST(!answer->isOver);
 }
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -200,9 +200,9 @@
     }
     const auto result = cluster.begin(post("/services/booking/bookings", R"({"wheel": "w1"})"));
     cluster.wait("the hand-over", [&] {
-        return cluster.sidecars[6]->open() + cluster.sidecars[7]->open() > 0;
+        return cluster.sidecars[6]->openCount() + cluster.sidecars[7]->openCount() > 0;
     });
-    cluster.killSidecar(cluster.sidecars[6]->open() > 0 ? 6 : 7);
+    cluster.killSidecar(cluster.sidecars[6]->openCount() > 0 ? 6 : 7);
     cluster.wait("the outcome", [&] {
         return result->has_value();
     });
@@ -358,7 +358,7 @@
     cluster.applications[0]->setSlow(milliseconds(100));
     const auto first = cluster.begin(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
-        return cluster.sidecars.back()->open() == 1;
+        return cluster.sidecars.back()->openCount() == 1;
     });
     cluster.killEntry(0);
     cluster.wait("the broken connection", [&] {
