--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-/// An entry that was heard of.
+/// An entry learnt of from its announcements or the membership list.
 struct KnownEntry {
-    TimePoint lastReceivedAt{}; ///< last
-    Incarnation incarnation;    ///< of its last announcement; 0 if it is only on the list
+    TimePoint lastReceivedAt{}; ///< latest announcement or listing
+    Incarnation incarnation;    ///< of its latest announcement; 0 if it was only listed
 };
 
 } // namespace
@@ -27,10 +27,10 @@
     std::function<void(Announcement &)> describe;
     Address self;
     std::uint64_t sequence = 0;
-    Announcement lastAnnouncement;              ///< last sent in full
-    std::uint32_t reportsSinceAnnouncement = 0; ///< load reports since then
-    std::vector<Address> announcedTo;           ///< who got it
-    std::map<Address, KnownEntry> known;        ///< entries
+    Announcement lastAnnouncement;              ///< latest full announcement
+    std::uint32_t reportsSinceAnnouncement = 0; ///< load reports sent since `lastAnnouncement`
+    std::vector<Address> announcedTo;           ///< recipients of `lastAnnouncement`
+    std::map<Address, KnownEntry> known;        ///< entries by peer address; may include seeds
     TimePoint nextPollAt{};
     Timer timer;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
@@ -76,7 +76,7 @@
     return result;
 }
 
-/// Whether anything but the load differs, so that a load report would not do.
+/// Whether a field differs that a load report does not carry.
 static bool differsBeyondLoad(const Announcement &a, const Announcement &b)
 {
     return a.state != b.state || a.model != b.model || a.version != b.version || a.adapters != b.adapters || a.layerBegin != b.layerBegin
@@ -147,7 +147,7 @@
 {
     pollMembership();
     const TimePoint now = context.clock.now();
-    // With the store away and nothing heard, an old list is better than none.
+    // While the store is down the membership list can't confirm entries: a stale list is better than an empty one.
     if (!store.isDown()) {
         std::erase_if(known, [&](const auto &item) {
             return now - item.second.lastReceivedAt >= knownEntryLifetime;
--- a/src/sidecar/announcer.h
+++ b/src/sidecar/announcer.h
@@ -1,8 +1,8 @@
-// Tells entries what this target holds, and learns which entries there are.
+// Announces this target and its load to entries, and discovers entries.
 //
-// A sidecar announces to a few entries that it picks by rendezvous hashing, so that no entry hears from all targets
-// and no target speaks to all entries. Entries it learns from its settings, from the entries' own announcements, and,
-// seldom, from the platform's list.
+// A sidecar announces to a few entries that it selects by rendezvous hashing, so that no entry receives from all targets and
+// no target sends to all entries. It learns of entries from its settings, from the entries' own announcements and, every
+// `membershipPollInterval`, from the platform's membership list.
 #pragma once
 
 #include "sidecar/context.h"
@@ -12,21 +12,22 @@
 namespace Parsleytrail
 {
 
-/// Sends announcements.
+/// Sends announcements and load reports to the selected entries.
 class Announcer
 {
 public:
-    /// `describe` fills in everything but identity, sequence and address.
+    /// `describe` fills in the fields that change: all but identity, location, sequence, address, target class and wire version.
     Announcer(SidecarContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe);
     ~Announcer();
 
-    /// Starts announcing from this address.
+    /// Starts announcing `self` as the address of this sidecar, every announce-interval.
     void start(const Address &self);
-    /// Announces in full now, e.g. because the state changed.
+    /// Sends a full announcement at once, e.g. because the state changed.
     void announce();
-    /// An entry announced itself.
+    /// Adds, refreshes or, if it is draining, removes an entry. Entries of other regions are ignored. A new entry, or a new
+    /// incarnation of one, causes a full announcement.
     void handleEntryAnnouncement(const EntryAnnouncement &entry);
-    /// Entries announced to at present.
+    /// The entries selected at present.
     std::vector<Address> entries() const;
 
 private:
@@ -34,9 +35,9 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::uint32_t reportsBetweenAnnouncements = 15;          ///< load reports, a quarter of the size, before the next full announcement
-constexpr milliseconds membershipPollIntervalWithoutEntries{1000}; ///< between reads of the list while no entry is known
-constexpr milliseconds membershipPollInterval{30000};              ///< between reads of the list otherwise: 3,100 sidecars make 103 reads a second
-constexpr milliseconds knownEntryLifetime{60000};                  ///< an entry that is heard of in no way for this long is forgotten
+constexpr std::uint32_t reportsBetweenAnnouncements = 15;          ///< load reports between two full announcements; a report is a quarter of the size
+constexpr milliseconds membershipPollIntervalWithoutEntries{1000}; ///< between reads of the membership list while no entry is known
+constexpr milliseconds membershipPollInterval{30000};              ///< otherwise; 3,100 sidecars then make 103 reads a second
+constexpr milliseconds knownEntryLifetime{60000};                  ///< an entry neither announced nor listed for this long is removed
 
 } // namespace Parsleytrail
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -13,23 +13,23 @@
 
 // [SECTION] State
 
-constexpr std::size_t maxBodyFrameBytes = 32 << 10; ///< bytes of an answer in one frame
+constexpr std::size_t maxBodyFrameBytes = 32 << 10; ///< response bytes in one frame
 
 namespace
 {
 
-/// A call on its way.
+/// An open call.
 struct SidecarCall {
     CallRequest head;                ///< as received
-    std::string body;                ///< collected so far
-    LinkPtr entry;                   ///< where the answer goes; null once it closed
-    HttpCallPtr http;                ///< set once handed over
-    std::size_t uncredited = 0;      ///< answer bytes sent that the caller has not taken
-    std::string pending;             ///< answer bytes that the window does not allow yet
-    std::size_t pendingOffset = 0;   ///< bytes of pending already sent
-    bool isResponseComplete = false; ///< the application's answer is whole
-    bool hasHead = false;            ///< status and headers of the answer were sent
-    TimePoint startedAt{};           ///< hand-over
+    std::string body;                ///< request body collected so far
+    LinkPtr entry;                   ///< receives the response; null once it closed
+    HttpCallPtr http;                ///< request to the application; set once handed over
+    std::size_t uncredited = 0;      ///< response bytes sent for which the entry has given no credit yet
+    std::string pending;             ///< response bytes held back by the window
+    std::size_t pendingOffset = 0;   ///< bytes of `pending` already sent
+    bool isResponseComplete = false; ///< the application's response was received completely
+    bool hasHead = false;            ///< status and headers of the response were received
+    TimePoint startedAt{};           ///< time of the hand-over
 };
 
 bool isMethodSupported(const std::string &method)
@@ -83,8 +83,8 @@
 
 // [SECTION] Hand-over
 
-/// Sends what the window allows. evhttp hands over a chunk of a chunked answer whole, however long it is: sent at once, a
-/// long one would overrun the link that all other calls of this entry share.
+/// Sends as much of `pending` as the window allows. evhttp delivers each chunk of a chunked response in one piece, however
+/// long it is: sent at once, a long chunk would overrun the link that all calls of this entry share.
 void Calls::Private::sendPending(SidecarCall &call)
 {
     while (call.entry && call.pendingOffset < call.pending.size() && call.uncredited < callWindowBytes) {
@@ -108,7 +108,7 @@
     sendPending(call);
 }
 
-/// The answer is whole and all of it was sent.
+/// Ends the call if the response is complete and all of it was sent.
 void Calls::Private::finishIfSent(const RequestId &request)
 {
     const SidecarCall *call = find(request);
@@ -197,8 +197,8 @@
 {
     const bool isKnown = find(head.request) != nullptr;
     if (isKnown) {
-        // The entry sends a request to a target once; a second one here would run it twice.
-        link->send(CallFailed{head.request, Outcome::Unknown, "begin call", "the request is known already"});
+        // An entry sends a request to a target only once. Accepting the same id again would run the request twice.
+        link->send(CallFailed{head.request, Outcome::Unknown, "begin call", "a call with this request id is already open"});
         return;
     }
     SidecarCall &call = calls[head.request];
@@ -208,7 +208,7 @@
         return fail(head.request, Outcome::NotRun, "begin call", "draining");
     }
     if (head.bodyBytes > static_cast<std::uint64_t>(context.settings.maxBodyBytes)) {
-        return fail(head.request, Outcome::NotRun, "begin call", "body over max-body-bytes");
+        return fail(head.request, Outcome::NotRun, "begin call", "the body exceeds max-body-bytes");
     }
     if (calls.size() > static_cast<std::size_t>(context.settings.maxStreams)) {
         return fail(head.request, Outcome::NotRun, "begin call", "max-streams reached");
@@ -227,13 +227,13 @@
     }
     call->body += part.data;
     if (call->body.size() > call->head.bodyBytes) {
-        return fail(part.request, Outcome::NotRun, "collect body", "longer than announced");
+        return fail(part.request, Outcome::NotRun, "collect body", "the body is longer than announced");
     }
     if (!part.last) {
         return;
     }
     if (call->body.size() != call->head.bodyBytes) {
-        return fail(part.request, Outcome::NotRun, "collect body", "shorter than announced");
+        return fail(part.request, Outcome::NotRun, "collect body", "the body is shorter than announced");
     }
     handOver(*call);
 }
@@ -310,7 +310,7 @@
         if (canCancel) {
             cancelled.push_back(request);
         } else {
-            d->sendPending(call); // nobody will give credit: drop the answer and let the call run to its end
+            d->sendPending(call); // no credit will come: drop the response and let the call run to its end
         }
     }
     for (const RequestId &request : cancelled) {
--- a/src/sidecar/calls.h
+++ b/src/sidecar/calls.h
@@ -1,7 +1,8 @@
 // Calls to the plain service beside a sidecar.
 //
-// The body is collected first and handed over whole: until then a failure is `not-run` for certain. After the first
-// byte of it has left this process the outcome is `run` or `unknown`, and nothing here sends it a second time.
+// The request body is collected first and handed over to the application in one piece: a failure before that is certainly
+// `not-run`. Once the first byte has left this process, the outcome of a failure is `run` or `unknown`, and the request is
+// never sent again from here.
 #pragma once
 
 #include "sidecar/context.h"
@@ -9,22 +10,24 @@
 namespace Parsleytrail
 {
 
-/// All calls of a sidecar beside an application.
+/// All open calls of a sidecar whose target is an application.
 class Calls
 {
 public:
     explicit Calls(SidecarContext &context);
     ~Calls();
 
-    /// Takes a frame that belongs to calls; false if it is malformed.
+    /// Handles a frame that belongs to a call; false if it is malformed or of another kind.
     bool handleFrame(const LinkPtr &link, const Frame &frame);
-    /// An entry's link is gone: calls not yet handed over never will be.
+    /// Called when the link to an entry closed. Cancels its calls, except those handed over that are not idempotent: these run
+    /// to their end and their responses are dropped.
     void onPeerDisconnected(const LinkPtr &link);
 
+    /// Number of open calls.
     std::size_t openCount() const;
-    /// Smoothed time of a call, microseconds; 0 before the first.
+    /// Smoothed duration of a call in microseconds; 0 before the first has ended.
     std::uint32_t callMicros() const;
-    /// JSON list for the state dump.
+    /// JSON array with one object per call, for the state dump.
     std::string dump() const;
 
 private:
@@ -32,6 +35,6 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t callWindowBytes = 256 << 10; ///< answer bytes on their way to the entry that its caller has not taken
+constexpr std::size_t callWindowBytes = 256 << 10; ///< flow control: response bytes of a call sent to the entry and not yet credited
 
 } // namespace Parsleytrail
--- a/src/sidecar/context.h
+++ b/src/sidecar/context.h
@@ -1,4 +1,4 @@
-// What the parts of a sidecar share. Internal to src/sidecar.
+// State shared by the components of a sidecar. Internal to src/sidecar.
 #pragma once
 
 #include "base/history.h"
@@ -11,18 +11,18 @@
 namespace Parsleytrail
 {
 
-/// Shared by the parts of one sidecar; they live no longer than it.
+/// Shared by the components of one sidecar, and outlives them.
 struct SidecarContext {
-    EventLoop &loop;                 ///< the process's loop
-    const Clock &clock;              ///< time
-    const SidecarSettings &settings; ///< as read at the start
-    Incarnation incarnation;         ///< this start
-    Address targetAddress;           ///< engine or application beside this sidecar
-    HttpClient &client;              ///< for the target
+    EventLoop &loop;                 ///< event loop of the process
+    const Clock &clock;              ///< source of the current time
+    const SidecarSettings &settings; ///< read once at the start
+    Incarnation incarnation;         ///< identifies this run of the process
+    Address targetAddress;           ///< address of the engine or application beside this sidecar
+    HttpClient &client;              ///< HTTP client for requests to the target
     LinkPool &peers;                 ///< links to other sidecars
-    Metrics &metrics;                ///< counters of the process
-    History &history;                ///< events for tests
-    bool isDraining = false;         ///< no new work is taken
+    Metrics &metrics;                ///< metrics of the process
+    History &history;                ///< event history that tests check
+    bool isDraining = false;         ///< no new streams or calls are accepted
 };
 
 } // namespace Parsleytrail
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -15,9 +15,9 @@
 using nlohmann::json;
 
 constexpr std::size_t maxStepResponseBytes = 64u << 20;
-constexpr std::uint32_t failuresUntilUnhealthy = 2; ///< reports missed in a row
-constexpr milliseconds minStepStallTimeout{250};    ///< a busy machine may hold up an engine for as long
-constexpr milliseconds maxStepStallTimeout{5000};   ///< also before any step was seen
+constexpr std::uint32_t failuresUntilUnhealthy = 2; ///< failed status queries in a row
+constexpr milliseconds minStepStallTimeout{250};    ///< a busy machine may delay an engine this long
+constexpr milliseconds maxStepStallTimeout{5000};   ///< also applies before the first step was timed
 
 // [SECTION] Encoding
 
@@ -38,7 +38,7 @@
     return encoded;
 }
 
-/// Throws json::exception on anything unexpected.
+/// Throws json::exception if a field is missing or has the wrong type.
 static StepResult decodeItem(const json &item)
 {
     StepResult result;
@@ -64,10 +64,10 @@
 
 // [SECTION] Steps
 
-/// A stream's part with the one who waits for it.
+/// A queued item and its completion callback.
 struct PendingItem {
-    StepItem item;               ///< what to do
-    EngineClient::StepDone done; ///< called once
+    StepItem item;               ///< stream and positions to apply
+    EngineClient::StepDone done; ///< called once with the result
 };
 
 struct EngineClient::Private {
@@ -75,16 +75,16 @@
     std::deque<PendingItem> queue{};
     std::size_t inFlight = 0;
     bool isSendScheduled = false;
-    bool isExclusiveInFlight = false; ///< the step in flight must have the engine for itself
-    std::uint64_t engineCrashes = 0;  ///< of the engine, as seen by broken steps
-    bool hasStepSinceCrash = true;    ///< broken steps with none done in between belong to one death
+    bool isExclusiveInFlight = false; ///< the item in flight must be the only one at the engine
+    std::uint64_t engineCrashes = 0;  ///< number of engine crashes detected by broken steps
+    bool hasStepSinceCrash = true;    ///< a step succeeded after the last crash; broken steps with none succeeding in between belong to the same crash
     EngineState engineState{};
     std::uint32_t failedStatusQueries = 0;
     bool isRefreshing = false;
     TimeEstimate stepTime{};
-    TimeEstimate itemTime{};       ///< time of a step for each stream in it
-    std::size_t itemsInFlight = 0; ///< streams in all steps in flight
-    TimePoint lastProgressAt{};    ///< last step ended, or given to an idle engine
+    TimeEstimate itemTime{};       ///< duration of a step divided by the number of its streams
+    std::size_t itemsInFlight = 0; ///< number of streams in all steps in flight
+    TimePoint lastProgressAt{};    ///< when a step last succeeded, or was sent to the idle engine
     TimeHistogram &stepHistogram;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
@@ -104,7 +104,7 @@
     return inFlight < (queue.front().item.isExclusive ? 1 : maxStepsInFlight);
 }
 
-/// Names the death of the engine that broke a step.
+/// Id of the engine crash that broke a step; counts a new crash if a step succeeded since the last one.
 std::uint64_t EngineClient::Private::crashId()
 {
     if (hasStepSinceCrash) {
@@ -120,7 +120,7 @@
         return;
     }
     isSendScheduled = true;
-    // What other frames of this turn of the loop bring joins the same request.
+    // Deferred, so that items of other frames handled in this iteration of the loop join the same request.
     context.loop.defer([this, weak = std::weak_ptr(alive)] {
         if (!weak.expired()) {
             isSendScheduled = false;
@@ -191,7 +191,7 @@
         }
     } else {
         const json response = json::parse(result.body, nullptr, false);
-        failedStep.error = "malformed answer with status " + std::to_string(result.status);
+        failedStep.error = "malformed response with status " + std::to_string(result.status);
         try {
             for (const json &item : response.at("items")) {
                 results.push_back(decodeItem(item));
@@ -272,8 +272,8 @@
     request.method = "POST";
     request.path = "/engine/v1/cancel";
     request.body = json{{"streams", std::move(streams)}}.dump();
-    // Lost or refused, nothing is waiting for it: the engine frees a stream that is not stepped, and resets one that
-    // comes back.
+    // The response is ignored and a failed cancellation is not retried: the engine frees a stream that gets no more steps, and
+    // resets one that is opened again.
     d->context.client.fetch(d->context.targetAddress, std::move(request), [](const HttpResult &) {});
 }
 
@@ -309,8 +309,8 @@
 
 bool EngineClient::isMakingProgress() const
 {
-    // Steps take longer when more streams share them, as after a burst: judged by the steps before it, the engine would be
-    // taken for stuck just when it has most to do.
+    // Steps take longer when more streams share them, e.g. after a burst. With a limit derived from earlier, smaller steps
+    // alone, the engine would be classified as stuck exactly when it has the most work. So the limit scales with the streams in flight.
     const milliseconds byStepTime = adaptiveTimeout(d->stepTime, minStepStallTimeout, maxStepStallTimeout);
     const auto items = static_cast<double>(d->itemsInFlight);
     const TimeEstimate itemsEstimate{d->itemTime.meanSeconds * items, d->itemTime.deviationSeconds * items};
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// parsley-sidecar: reads its settings, serves until SIGTERM or SIGINT, then drains.
+// Program parsley-sidecar: reads its settings, serves until SIGTERM or SIGINT, then drains.
 #include "sidecar/sidecar.h"
 #include "wire/daemon.h"
 
@@ -9,10 +9,10 @@
 Usage: parsley-sidecar --settings=FILE [--check]
 
   --settings=FILE  settings (INI, section [sidecar]); docs/SETTINGS.md lists the keys
-  --check          only check the file; exit 0 if it is right, 2 if not
+  --check          only check the file; exit 0 if it is valid, 2 if not
 
-SIGTERM or SIGINT: no new work from then on; ends when the last stream or call has ended, or after drain-timeout.
-Exit: 0 stopped, 1 could not start, 2 wrong usage or settings.
+SIGTERM or SIGINT: accepts no new work; exits when the last stream or call has ended, or after drain-timeout.
+Exit status: 0 stopped, 1 could not start, 2 wrong usage or settings.
 
 Example: parsley-sidecar --settings=/etc/parsleytrail/sidecar.ini
 )";
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Parts, [SECTION] Frames, [SECTION] Announcing, [SECTION] Views, [SECTION] Sidecar
+// Index: [SECTION] Components, [SECTION] Frames, [SECTION] Announcing, [SECTION] Views, [SECTION] Sidecar
 #include "sidecar/sidecar.h"
 
 #include "base/log.h"
@@ -16,7 +16,7 @@
 
 constexpr milliseconds sweepInterval{500};
 
-// [SECTION] Parts
+// [SECTION] Components
 
 struct Sidecar::Private {
     SidecarSettings settings;
@@ -346,7 +346,7 @@
 
 Sidecar::~Sidecar()
 {
-    // Links first: their handlers use the parts below.
+    // Links first: their handlers use the other components.
     d->links.reset();
     d->peers.reset();
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -2,7 +2,7 @@
 //
 //     Sidecar sidecar(loop, clock, settings);
 //     sidecar.start();                                  // listens, announces itself
-//     sidecar.drain([&] { loop.stop(); });              // no new work; calls back when the last stream has ended
+//     sidecar.drain([&] { loop.stop(); });              // accepts no new work; calls back when the last stream has ended
 #pragma once
 
 #include "base/address.h"
@@ -16,24 +16,26 @@
 namespace Parsleytrail
 {
 
-/// One sidecar on the loop of its process.
+/// A sidecar that runs on the given event loop.
 class Sidecar
 {
 public:
     Sidecar(EventLoop &loop, const Clock &clock, SidecarSettings settings);
     ~Sidecar();
 
-    /// Listens and begins to announce. Fails with the step that failed.
+    /// Opens the ports and starts to announce the target. The error names the step that failed.
     Result<void> start();
-    /// Takes no new work; `finished` is called when nothing is open any more, or after drain-timeout.
+    /// Accepts no new work; `finished` is called when no stream or call is open any more, or after drain-timeout.
     void drain(std::function<void()> finished);
 
+    /// Address for links and datagrams of entries and other sidecars.
     Address linkAddress() const;
+    /// Address of the operator interface.
     Address operatorAddress() const;
     History &history();
-    /// Streams or calls open.
+    /// Number of open streams or calls.
     std::size_t openCount() const;
-    /// The state dump, JSON.
+    /// The state dump as JSON.
     std::string state() const;
 
 private:
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] State, [SECTION] Passing on, [SECTION] Engine steps, [SECTION] Frames, [SECTION] Peers, [SECTION] Stages
+// Index: [SECTION] State, [SECTION] Sending results, [SECTION] Engine steps, [SECTION] Frames, [SECTION] Peers, [SECTION] Stages
 #include "sidecar/stages.h"
 
 #include "base/log.h"
@@ -12,27 +12,27 @@
 
 // [SECTION] State
 
-constexpr std::size_t maxEarlyFrames = 64;       ///< frames kept for one stream that is not open yet
-constexpr std::size_t maxEarlyStreams = 4096;    ///< streams for which early frames are kept
-constexpr milliseconds earlyFrameLifetime{5000}; ///< an OpenStage that has not come by then won't come
+constexpr std::size_t maxEarlyFrames = 64;       ///< maximum number of frames kept for one stream that is not open yet
+constexpr std::size_t maxEarlyStreams = 4096;    ///< maximum number of streams with early frames
+constexpr milliseconds earlyFrameLifetime{5000}; ///< an OpenStage that has not arrived by then will not arrive
 
 namespace
 {
 
-/// A stream with what the sidecar needs around its pure state.
+/// A stream: its protocol state, which does no I/O, and what connects it to the entry and the engine.
 struct SidecarStream {
-    StageStream core;                         ///< positions and results
-    OpenStage open;                           ///< newest
-    LinkPtr entry;                            ///< where failures and tokens go; null once it closed
-    TimePoint orphanedAt{};                   ///< when the entry's link closed
-    std::uint64_t generation = 0;             ///< tells apart streams that reuse a request's id here
-    bool isAtEngine = false;                  ///< the engine knows the stream
-    bool isSuspect = false;                   ///< the next step runs alone
-    std::uint64_t acceleratorMicros = 0;      ///< spent on it here
-    std::uint32_t requestedFrom = UINT32_MAX; ///< position of the last ResumeFrom sent in this attempt
+    StageStream core;                         ///< protocol state: positions and results
+    OpenStage open;                           ///< of the newest attempt
+    LinkPtr entry;                            ///< receives failures and tokens; null once it closed
+    TimePoint orphanedAt{};                   ///< when the link to the entry closed
+    std::uint64_t generation = 0;             ///< changes when the stream is opened anew or starts over; results of steps of other generations are ignored
+    bool isAtEngine = false;                  ///< the engine holds state of the stream
+    bool isSuspect = false;                   ///< the next step must have the engine to itself
+    std::uint64_t acceleratorMicros = 0;      ///< accelerator time used by the stream at this stage
+    std::uint32_t requestedFrom = UINT32_MAX; ///< position of the last ResumeFrom sent; UINT32_MAX if none since the attempt was opened or inputs were accepted
 };
 
-/// Frames that came before their OpenStage: neighbours may get theirs first.
+/// Frames that arrived before the OpenStage of their attempt: neighbouring stages may receive theirs earlier and start to send.
 struct EarlyFrames {
     std::vector<ActivationFrame> activations;
     std::vector<TokenFrame> tokens;
@@ -99,7 +99,7 @@
     std::unordered_map<RequestId, SidecarStream> streams;
     std::unordered_map<RequestId, EarlyFrames> earlyFrames;
     std::uint64_t nextGeneration = 1;
-    std::size_t totalKeptBytes = 0; ///< bytes of kept activations
+    std::size_t totalKeptBytes = 0; ///< bytes of kept activations of all streams
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     Private(SidecarContext &sidecarContext, EngineClient &engineClient)
@@ -183,7 +183,7 @@
     link->send(StageFailed{open.request, open.attempt, open.stageIndex, kind, step, ""});
 }
 
-// [SECTION] Passing on
+// [SECTION] Sending results
 
 void Stages::Private::requestResume(SidecarStream &stream)
 {
@@ -240,8 +240,8 @@
     }
 }
 
-/// Frees kept results of the largest streams first. They are only a shortcut: a stage that must be replaced behind such
-/// a stream is then fed by running this stage again.
+/// Frees kept results, those of the largest stream first, until they fit into kept-activation-bytes. They only save time: if a
+/// later stage must be replaced, its inputs are then recomputed by running this stage again.
 void Stages::Private::limitKeptResults()
 {
     const auto limit = static_cast<std::size_t>(context.settings.keptActivationBytes);
@@ -311,8 +311,8 @@
 {
     SidecarStream *stream = find(request);
     if (!stream) {
-        // The stream was closed while the step waited here or at the engine. The cancel may have overtaken the step, which
-        // then began the stream anew there; nobody would ever cancel it again.
+        // The stream was closed while the step waited here or at the engine. The cancellation may have overtaken the step, which
+        // then opened the stream again at the engine, where nothing else would cancel it.
         engine.cancel({request});
         return;
     }
@@ -324,7 +324,7 @@
                                  : result.end == StepEnd::Lost   ? FailureKind::TargetLost
                                                                  : FailureKind::Refused;
         reportFailure(*stream, stream->core.stageIndex, kind, "engine step: " + result.error.substr(0, 100), context.targetAddress.toString(), result.crash);
-        // Whether the engine applied the positions is not known, so that its state can't be used again.
+        // It is unknown whether the engine applied the positions, so its state of the stream can't be reused.
         return erase(request);
     }
     stream->isSuspect = false;
@@ -473,7 +473,7 @@
         return;
     }
     if (!resumeFrom(stream->core, frame.position)) {
-        // The results were dropped to save memory: this stage must run again from its own inputs.
+        // The results were dropped to save memory: they must be recomputed by running this stage again from its inputs.
         reportFailure(*stream, stream->core.stageIndex, FailureKind::InputGap, "resume", "");
         return erase(frame.request);
     }
--- a/src/sidecar/stages.h
+++ b/src/sidecar/stages.h
@@ -1,4 +1,5 @@
-// The streams of a sidecar beside an engine: takes frames from the chain, has the engine apply them, passes results on.
+// The streams of a sidecar beside an engine: receives frames from the chain, has the engine apply them, and sends the results
+// to the next stage.
 #pragma once
 
 #include "sidecar/engine_client.h"
@@ -6,26 +7,28 @@
 namespace Parsleytrail
 {
 
-/// All streams that cross this sidecar.
+/// All streams for which this sidecar serves a stage.
 class Stages
 {
 public:
     Stages(SidecarContext &context, EngineClient &engine);
     ~Stages();
 
-    /// Takes a frame that belongs to streams; false if it is malformed.
+    /// Handles a frame that belongs to a stream; false if it is malformed or of another kind.
     bool handleFrame(const LinkPtr &link, const Frame &frame);
-    /// A link from an entry or another sidecar is gone: its streams are freed unless the entry takes them over soon.
+    /// Called when a link from an entry or another sidecar closed. The streams opened over it are freed after orphan-timeout
+    /// unless they are opened over another link before.
     void onPeerDisconnected(const LinkPtr &link);
-    /// A link that this sidecar made is gone: streams that send over it have lost their next stage.
+    /// Called when a link to another sidecar closed. Reports the loss of the next stage for all streams that send over it.
     void onNextStageDisconnected(const std::string &address, const Error &error);
-    /// Frees streams without an entry, and old frames that no stream wanted. Called now and then.
+    /// Frees streams that have had no entry for orphan-timeout, and expired early frames. Called periodically.
     void sweep();
 
+    /// Number of open streams.
     std::size_t openCount() const;
-    /// Bytes of kept activations.
+    /// Bytes of activations kept for resending.
     std::size_t keptBytes() const;
-    /// One JSON object for each stream, for the state dump.
+    /// JSON array with one object per stream, for the state dump.
     std::string dump() const;
 
 private:
