--- a/tests/client/client.test.mjs
+++ b/tests/client/client.test.mjs
@@ -12,14 +12,14 @@
 });
 
 test('whole chat completion', async () => {
-    const answer = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9, temperature: 0.2 });
-    assert.equal(answer.choices[0].message.role, 'assistant');
-    assert.ok(answer.choices[0].message.content.length > 0);
-    assert.equal(answer.usage.total_tokens, answer.usage.prompt_tokens + answer.usage.completion_tokens);
+    const response = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9, temperature: 0.2 });
+    assert.equal(response.choices[0].message.role, 'assistant');
+    assert.ok(response.choices[0].message.content.length > 0);
+    assert.equal(response.usage.total_tokens, response.usage.prompt_tokens + response.usage.completion_tokens);
 });
 
 test('streamed chat completion gives the same text, and usage', async () => {
-    const whole = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9 });
+    const complete = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9 });
     const stream = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9, stream: true, stream_options: { include_usage: true } });
     let text = '';
     let usage = null;
@@ -29,14 +29,14 @@
         finish = chunk.choices[0]?.finish_reason ?? finish;
         usage = chunk.usage ?? usage;
     }
-    assert.equal(text, whole.choices[0].message.content);
-    assert.deepEqual(usage, whole.usage);
-    assert.equal(finish, whole.choices[0].finish_reason);
+    assert.equal(text, complete.choices[0].message.content);
+    assert.deepEqual(usage, complete.usage);
+    assert.equal(finish, complete.choices[0].finish_reason);
 });
 
 test('text completion', async () => {
-    const answer = await client.completions.create({ model: 'chat', prompt: 'clay', max_tokens: 4 });
-    assert.ok(answer.choices[0].text.length > 0);
+    const response = await client.completions.create({ model: 'chat', prompt: 'clay', max_tokens: 4 });
+    assert.ok(response.choices[0].text.length > 0);
 });
 
 test('a stream can be given up', async () => {
@@ -55,6 +55,6 @@
         assert.equal(error.param, 'n');
         return true;
     });
-    const stranger = new OpenAI({ baseURL: process.env.PARSLEY_BASE_URL, apiKey: 'wrong', maxRetries: 0 });
-    await assert.rejects(stranger.models.list(), OpenAI.AuthenticationError);
+    const unauthorized = new OpenAI({ baseURL: process.env.PARSLEY_BASE_URL, apiKey: 'wrong', maxRetries: 0 });
+    await assert.rejects(unauthorized.models.list(), OpenAI.AuthenticationError);
 });
--- a/tests/process_test.py
+++ b/tests/process_test.py
@@ -13,19 +13,19 @@
 from system import CALLER_KEY, OPERATOR_KEY, System, figures  # noqa: E402
 
 BUILD = sys.argv.pop(1) if len(sys.argv) > 1 and not sys.argv[1].startswith("-") else "build"
-SLOW = ("--step_micros=3000",)
-QUICK = {"silence-timeout": "1s", "announce-interval": "100ms"}
-QUICK_SIDECAR = {"announce-interval": "100ms", "orphan-timeout": "500ms"}
+SLOW_ENGINES = ("--step_micros=3000",)
+SHORT_TIMEOUTS = {"silence-timeout": "1s", "announce-interval": "100ms"}
+SHORT_SIDECAR_TIMEOUTS = {"announce-interval": "100ms", "orphan-timeout": "500ms"}
 
 
 def system(**options):
-    options.setdefault("entry_settings", QUICK)
-    options.setdefault("sidecar_settings", QUICK_SIDECAR)
+    options.setdefault("entry_settings", SHORT_TIMEOUTS)
+    options.setdefault("sidecar_settings", SHORT_SIDECAR_TIMEOUTS)
     return System(build=BUILD, **options)
 
 
 class ProcessTest(unittest.TestCase):
-    def check_all_right(self, result):
+    def check_all_complete(self, result):
         """Every answer was whole and the reference answer."""
         self.assertEqual(result["wrong"], 0)
         self.assertEqual(result["cut"], 0)
@@ -38,60 +38,60 @@
         with system() as running:
             running.apply(running.configuration())
             running.wait_ready()
-            self.check_all_right(running.load("--streams=2000", "--requests=2000", "--max_tokens=16", "--prompt_words=20"))
+            self.check_all_complete(running.load("--streams=2000", "--requests=2000", "--max_tokens=16", "--prompt_words=20"))
 
-    def under_load(self, act, entry_count=2):
+    def run_under_load(self, action, entry_count=2):
         """Runs a load, acts on the system in the middle of it, and returns the load's figures."""
-        with system(engine_flags=SLOW, entries=entry_count) as running:
+        with system(engine_flags=SLOW_ENGINES, entries=entry_count) as running:
             running.apply(running.configuration())
             running.wait_ready()
             load = running.start_load("--streams=40", "--requests=160", "--max_tokens=40", "--prompt_words=20")
             running.wait_until("streams", lambda: running.status()["streams"] >= 15)
-            act(running)
+            action(running)
             result = figures(load)
             # Whatever is left must end cleanly: a crash at the end hides in no log.
             for name, process in running.processes.items():
                 if process.popen.poll() is None and name not in ("platform",):
-                    self.assertEqual(process.stop(30), 0, f"{name} did not end cleanly:\n{process.last_words()}")
+                    self.assertEqual(process.stop(30), 0, f"{name} did not end cleanly:\n{process.log_tail()}")
             return result
 
     def test_sidecars_are_killed_under_load(self):
         """SIGKILL of the sidecars of two different ranges, one after the other. Callers see whole answers."""
-        def act(running):
+        def action(running):
             running.signal("engine-0", signal.SIGKILL)
             running.signal("engine-3", signal.SIGKILL)
-        self.check_all_right(self.under_load(act))
+        self.check_all_complete(self.run_under_load(action))
 
     def test_a_sidecar_is_stopped_and_resumed_under_load(self):
         """SIGSTOP: no link breaks, the sidecar is just silent. Its streams are taken over; when it is resumed, what it
         still sends belongs to old attempts and changes nothing."""
-        def act(running):
+        def action(running):
             running.signal("engine-2", signal.SIGSTOP)
             running.wait_until("the entry to miss it", lambda: any(t["id"] == "engine-2" and t["state"] == "Silent" for t in running.status()["targets"]))
             running.signal("engine-2", signal.SIGCONT)
-        self.check_all_right(self.under_load(act))
+        self.check_all_complete(self.run_under_load(action))
 
     def test_a_sidecar_is_asked_to_stop_under_load(self):
         """SIGTERM: its streams run to their end and it exits with 0."""
-        def act(running):
+        def action(running):
             process = running.processes["engine-1"].popen
             process.terminate()
             self.assertEqual(process.wait(60), 0)
-        self.check_all_right(self.under_load(act))
+        self.check_all_complete(self.run_under_load(action))
 
     def test_an_entry_is_asked_to_stop_under_load(self):
         """SIGTERM: open answers are completed, later requests refused; it exits with 0 and nothing is cut."""
-        def act(running):
+        def action(running):
             process = running.processes["entry-1"].popen
             process.terminate()
             self.assertEqual(process.wait(60), 0)
-        result = self.under_load(act)
+        result = self.run_under_load(action)
         self.assertEqual(result["wrong"], 0)
         self.assertEqual(result["cut"], 0)
 
     def test_an_entry_is_killed_under_load(self):
         """SIGKILL: its callers' answers are cut and can be seen to be; nothing else suffers, and sidecars get free."""
-        with system(engine_flags=SLOW) as running:
+        with system(engine_flags=SLOW_ENGINES) as running:
             running.apply(running.configuration())
             running.wait_ready()
             load = running.start_load("--streams=20", "--requests=20", "--max_tokens=40", entries=["entry-0"])
@@ -99,14 +99,14 @@
             running.wait_until("streams", lambda: running.status()["streams"] >= 15)
             running.signal("entry-0", signal.SIGKILL)
             self.assertEqual(figures(load)["wrong"], 0)
-            self.check_all_right(figures(other))
+            self.check_all_complete(figures(other))
             running.wait_until("free sidecars", lambda: all(target["streams"] == 0 for target in running.status("entry-1")["targets"]))
 
     def test_the_platform_is_away_under_load(self):
         """The platform is stopped, so that calls to it hang: answers go on, and nothing waits for it."""
-        def act(running):
+        def action(running):
             running.signal("platform", signal.SIGSTOP)
-        self.check_all_right(self.under_load(act))
+        self.check_all_complete(self.run_under_load(action))
 
     def test_command_line(self):
         """parsleyctl's commands, formats and exit statuses, against a running system."""
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -16,36 +16,36 @@
 IDLE_SECONDS = 8
 
 
-def line(name, value, unit):
+def print_figure(name, value, unit):
     print(f"{name} {value:.6g} {unit}", flush=True)
 
 
-def slope(points):
+def linear_fit(points):
     """Least squares: (value per x, value at x = 0)."""
     mean_x = statistics.mean(x for x, _ in points)
     mean_y = statistics.mean(y for _, y in points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    per_x = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
+    per_x = sum((x - mean_x) * (y - mean_y) for x, y in points) / squared_deviations
     return per_x, mean_y - per_x * mean_x
 
 
-def print_slope(name, points, unit, per):
+def print_linear_fit(name, points, unit, per):
     for x, y in points:
-        line(f"{name}.at_{x:g}", y, unit)
-    per_x, base = slope(points)
-    line(f"{name}.per_{per}", per_x, f"{unit}/{per}")
-    line(f"{name}.base", base, unit)
+        print_figure(f"{name}.at_{x:g}", y, unit)
+    per_x, base = linear_fit(points)
+    print_figure(f"{name}.per_{per}", per_x, f"{unit}/{per}")
+    print_figure(f"{name}.base", base, unit)
 
 
-def state_of(system, name):
+def process_state(system, name):
     return json.loads(system.request("GET", f"http://{system.addresses[name]['operators']}/operator/v1/state", key="operator-key")[2])
 
 
-def control_cost(system, name, seconds):
+def idle_cost(system, name, seconds):
     """Idle use of one process: share of a core, private memory, datagram bytes a second both ways, store calls a second."""
-    before, cpu = state_of(system, name), system.processes[name].cpu_seconds()
+    before, cpu = process_state(system, name), system.processes[name].cpu_seconds()
     time.sleep(seconds)
-    after, used = state_of(system, name), system.processes[name].cpu_seconds() - cpu
+    after, used = process_state(system, name), system.processes[name].cpu_seconds() - cpu
 
     def rate(*path):
         old, new = before, after
@@ -72,9 +72,9 @@
             for kind in ("first_token", "between_tokens"):
                 for quantile in ("p50", "p95", "p99"):
                     name = f"{kind}_{quantile}"
-                    line(f"overhead.{streams}_streams.direct.{name}", direct[name], "ms")
-                    line(f"overhead.{streams}_streams.routed.{name}", routed[name], "ms")
-                    line(f"overhead.{streams}_streams.added.{name}", routed[name] - direct[name], "ms")
+                    print_figure(f"overhead.{streams}_streams.direct.{name}", direct[name], "ms")
+                    print_figure(f"overhead.{streams}_streams.routed.{name}", routed[name], "ms")
+                    print_figure(f"overhead.{streams}_streams.added.{name}", routed[name] - direct[name], "ms")
 
 
 def streams(options):
@@ -91,13 +91,13 @@
             system.wait_until("all streams", lambda: sum(system.status(entry)["streams"] for entry in system.entries()) >= count * 0.8)
             time.sleep(1.5)
             for role, name in roles.items():
-                open_here = len(state_of(system, name)["openStreams" if role == "entry" else "streams"])
+                open_here = len(process_state(system, name)["openStreams" if role == "entry" else "streams"])
                 points[role].append((open_here, system.processes[name].memory_bytes() / 1024))
             load.kill()
             load.wait()
             system.wait_until("free entries", lambda: all(system.status(entry)["streams"] == 0 for entry in system.entries()))
         for role in roles:
-            print_slope(f"streams.{role}.memory", points[role], "KiB", "stream")
+            print_linear_fit(f"streams.{role}.memory", points[role], "KiB", "stream")
     with System(holders=2, entries=2, applications=0) as system:
         system.apply(system.configuration())
         system.wait_ready()
@@ -105,10 +105,10 @@
             before = {name: system.processes[name].cpu_seconds() for name in ("entry-0", "engine-0", "engine-2", "engine-4")}
             result = system.load(f"--streams={count}", f"--requests={max(200, 2 * count)}", "--max_tokens=64")
             tokens = result["tokens_per_second"] * result["sent"] / result["answered_per_second"]
-            line(f"streams.{count}.tokens_per_second", result["tokens_per_second"], "tokens/s")
-            line(f"streams.{count}.entry_cpu", 1e6 * (system.processes["entry-0"].cpu_seconds() - before["entry-0"]) / (tokens / 2), "us/token")
+            print_figure(f"streams.{count}.tokens_per_second", result["tokens_per_second"], "tokens/s")
+            print_figure(f"streams.{count}.entry_cpu", 1e6 * (system.processes["entry-0"].cpu_seconds() - before["entry-0"]) / (tokens / 2), "us/token")
             for name in ("engine-0", "engine-2", "engine-4"):
-                line(f"streams.{count}.{name}_sidecar_cpu", 1e6 * (system.processes[name].cpu_seconds() - before[name]) / (tokens / 2), "us/token")
+                print_figure(f"streams.{count}.{name}_sidecar_cpu", 1e6 * (system.processes[name].cpu_seconds() - before[name]) / (tokens / 2), "us/token")
 
 
 def load(options):
@@ -118,7 +118,7 @@
         system.wait_ready()
         result = system.load("--streams=2000", "--requests=6000", "--max_tokens=32")
         for name, value in result.items():
-            line(f"load.{name}", value, "requests" if name in ("sent", "answered", "wrong", "cut", "refused", "unfinished") else "ms" if "_p" in name and "per" not in name else "1/s")
+            print_figure(f"load.{name}", value, "requests" if name in ("sent", "answered", "wrong", "cut", "refused", "unfinished") else "ms" if "_p" in name and "per" not in name else "1/s")
 
 
 def time_in_force(system, text):
@@ -141,17 +141,17 @@
             system.apply(system.configuration())
             system.wait_ready()
             times = [time_in_force(system, system.configuration(workspaces=2 + i)) for i in range(10)]
-            line(f"configuration.{label}_processes.median", 1000 * statistics.median(times), "ms")
-            line(f"configuration.{label}_processes.max", 1000 * max(times), "ms")
+            print_figure(f"configuration.{label}_processes.median", 1000 * statistics.median(times), "ms")
+            print_figure(f"configuration.{label}_processes.max", 1000 * max(times), "ms")
     with System(holders=2, entries=3, applications=1) as system:
         system.apply(system.configuration(workspaces=2600))
         system.wait_ready()
-        before = sum(state_of(system, entry)["configurationBytesSent"] for entry in system.entries())
+        before = sum(process_state(system, entry)["configurationBytesSent"] for entry in system.entries())
         times = [time_in_force(system, system.configuration(workspaces=2601 + i)) for i in range(5)]
-        sent = sum(state_of(system, entry)["configurationBytesSent"] for entry in system.entries()) - before
-        line("configuration.2600_workspaces.median", 1000 * statistics.median(times), "ms")
-        line("configuration.2600_workspaces.max", 1000 * max(times), "ms")
-        line("configuration.2600_workspaces.section_bytes_sent_per_change", sent / len(times), "bytes")
+        sent = sum(process_state(system, entry)["configurationBytesSent"] for entry in system.entries()) - before
+        print_figure("configuration.2600_workspaces.median", 1000 * statistics.median(times), "ms")
+        print_figure("configuration.2600_workspaces.max", 1000 * max(times), "ms")
+        print_figure("configuration.2600_workspaces.section_bytes_sent_per_change", sent / len(times), "bytes")
 
 
 def slopes(options):
@@ -162,20 +162,20 @@
             system.apply(system.configuration())
             system.wait_ready()
             time.sleep(2)
-            by_targets.append((len(system.targets), control_cost(system, "entry-0", IDLE_SECONDS), control_cost(system, "engine-0", IDLE_SECONDS)))
+            by_targets.append((len(system.targets), idle_cost(system, "entry-0", IDLE_SECONDS), idle_cost(system, "engine-0", IDLE_SECONDS)))
     for figure, unit in (("cpu", "%"), ("memory", "MiB"), ("bytes", "B/s"), ("reads", "reads/s"), ("writes", "writes/s")):
-        print_slope(f"slopes.entry.{figure}_by_targets", [(count, entry[figure]) for count, entry, _ in by_targets], unit, "target")
-        print_slope(f"slopes.sidecar.{figure}_by_targets", [(count, sidecar[figure]) for count, _, sidecar in by_targets], unit, "target")
+        print_linear_fit(f"slopes.entry.{figure}_by_targets", [(count, entry[figure]) for count, entry, _ in by_targets], unit, "target")
+        print_linear_fit(f"slopes.sidecar.{figure}_by_targets", [(count, sidecar[figure]) for count, _, sidecar in by_targets], unit, "target")
     by_entries = []
     for entries in (2, 6, 12):
         with System(holders=2, entries=entries, applications=0, sidecar_settings={"announce-entries": entries}) as system:
             system.apply(system.configuration())
             system.wait_ready()
             time.sleep(2)
-            by_entries.append((entries, control_cost(system, "entry-0", IDLE_SECONDS), control_cost(system, "engine-0", IDLE_SECONDS)))
+            by_entries.append((entries, idle_cost(system, "entry-0", IDLE_SECONDS), idle_cost(system, "engine-0", IDLE_SECONDS)))
     for figure, unit in (("cpu", "%"), ("bytes", "B/s")):
-        print_slope(f"slopes.entry.{figure}_by_entries", [(count, entry[figure]) for count, entry, _ in by_entries], unit, "entry")
-        print_slope(f"slopes.sidecar.{figure}_by_entries", [(count, sidecar[figure]) for count, _, sidecar in by_entries], unit, "entry")
+        print_linear_fit(f"slopes.entry.{figure}_by_entries", [(count, entry[figure]) for count, entry, _ in by_entries], unit, "entry")
+        print_linear_fit(f"slopes.sidecar.{figure}_by_entries", [(count, sidecar[figure]) for count, _, sidecar in by_entries], unit, "entry")
     by_workspaces = []
     with System(holders=1, entries=2, applications=0) as system:
         for workspaces in (10, 650, 2600):
@@ -188,13 +188,13 @@
                 time_in_force(system, system.configuration(workspaces=workspaces + 1 + change))
             spent = {name: 100 * (system.processes[name].cpu_seconds() - cpu[name]) for name in cpu}
             by_workspaces.append((workspaces, memory, spent))
-    print_slope("slopes.entry.memory_by_workspaces", [(count, memory["entry-1"]) for count, memory, _ in by_workspaces], "MiB", "workspace")
-    print_slope("slopes.sidecar.memory_by_workspaces", [(count, memory["engine-0"]) for count, memory, _ in by_workspaces], "MiB", "workspace")
-    print_slope("slopes.entry.cpu_by_workspaces.accepting", [(count, spent["entry-0"]) for count, _, spent in by_workspaces], "ms/change", "workspace")
-    print_slope("slopes.entry.cpu_by_workspaces.receiving", [(count, spent["entry-1"]) for count, _, spent in by_workspaces], "ms/change", "workspace")
+    print_linear_fit("slopes.entry.memory_by_workspaces", [(count, memory["entry-1"]) for count, memory, _ in by_workspaces], "MiB", "workspace")
+    print_linear_fit("slopes.sidecar.memory_by_workspaces", [(count, memory["engine-0"]) for count, memory, _ in by_workspaces], "MiB", "workspace")
+    print_linear_fit("slopes.entry.cpu_by_workspaces.accepting", [(count, spent["entry-0"]) for count, _, spent in by_workspaces], "ms/change", "workspace")
+    print_linear_fit("slopes.entry.cpu_by_workspaces.receiving", [(count, spent["entry-1"]) for count, _, spent in by_workspaces], "ms/change", "workspace")
 
 
-def recovery_of(options, act):
+def run_with_failure(options, inject_failure):
     """Acts in the middle of a load; the entries' histograms of recovery times and the load's figures."""
     shape = {**DEPLOYMENTS[options.deployment], "holders": 4}
     with System(**shape, engine_flags=("--step_micros=3000",), entry_settings={"announce-interval": "200ms", "silence-timeout": "1s"},
@@ -203,7 +203,7 @@
         system.wait_ready()
         process = system.start_load("--streams=60", f"--seconds={options.seconds}", "--max_tokens=48", "--prompt_words=20")
         time.sleep(options.seconds / 3)
-        act(system)
+        inject_failure(system)
         output, _ = process.communicate()
         result = {name: float(value) for name, value, _ in (text.split(" ", 2) for text in output.splitlines())}
         times = []
@@ -217,23 +217,23 @@
     """Quantiles of a histogram over several processes' OpenMetrics texts, at the buckets' upper ends; seconds."""
     buckets = {}
     for text in texts:
-        below = 0
+        previous = 0
         for row in text.splitlines():
             if row.startswith(f"{name}_bucket") and "+Inf" not in row:
                 bound = float(row.split('"')[1])
                 count = int(row.rsplit(" ", 1)[1])
-                buckets[bound] = buckets.get(bound, 0) + count - below
-                below = count
+                buckets[bound] = buckets.get(bound, 0) + count - previous
+                previous = count
     total = sum(buckets.values())
-    found = {}
+    seconds_by_quantile = {}
     for label, share in (("p50", 0.5), ("p95", 0.95), ("max", 1)):
-        seen = 0
+        cumulative = 0
         for bound in sorted(buckets):
-            seen += buckets[bound]
-            if seen >= share * total:
-                found[label] = bound
+            cumulative += buckets[bound]
+            if cumulative >= share * total:
+                seconds_by_quantile[label] = bound
                 break
-    return total, found
+    return total, seconds_by_quantile
 
 
 def recovery(options):
@@ -261,15 +261,15 @@
         "data_center_killed": data_center,
         "platform_stopped": lambda system: system.signal("platform", signal.SIGSTOP),
     }
-    for kind, act in kinds.items():
-        result, texts = recovery_of(options, act)
-        count, found = quantiles(texts, "parsley_recovery_seconds")
-        line(f"recovery.{kind}.streams_hit", count, "streams")
-        for label, seconds in found.items():
-            line(f"recovery.{kind}.{label}", 1000 * seconds, "ms")
-        line(f"recovery.{kind}.answered", result["answered"], "requests")
-        line(f"recovery.{kind}.not_answered", result["sent"] - result["answered"], "requests")
-        line(f"recovery.{kind}.wrong", result["wrong"], "requests")
+    for kind, inject_failure in kinds.items():
+        result, texts = run_with_failure(options, inject_failure)
+        count, seconds_by_quantile = quantiles(texts, "parsley_recovery_seconds")
+        print_figure(f"recovery.{kind}.streams_hit", count, "streams")
+        for label, seconds in seconds_by_quantile.items():
+            print_figure(f"recovery.{kind}.{label}", 1000 * seconds, "ms")
+        print_figure(f"recovery.{kind}.answered", result["answered"], "requests")
+        print_figure(f"recovery.{kind}.not_answered", result["sent"] - result["answered"], "requests")
+        print_figure(f"recovery.{kind}.wrong", result["wrong"], "requests")
 
 
 def overload(options):
@@ -287,7 +287,7 @@
                 result = system.load(f"--rate={factor * saturation}", f"--seconds={options.seconds}", "--max_tokens=32", "--prompt_words=10", "--seed=7")
                 for figure, unit in (("good_per_second", "requests/s"), ("answered", "requests"), ("refused", "requests"), ("sent", "requests"),
                                      ("first_token_p95", "ms"), ("between_tokens_p95", "ms")):
-                    line(f"overload.{name}.{factor}x.{figure}", result[figure], unit)
+                    print_figure(f"overload.{name}.{factor}x.{figure}", result[figure], unit)
 
 
 EXPERIMENTS = {"overhead": overhead, "streams": streams, "load": load, "configuration": configuration, "slopes": slopes, "recovery": recovery, "overload": overload}
--- a/tools/system.py
+++ b/tools/system.py
@@ -48,15 +48,15 @@
         """First match of a pattern in what the process wrote, as a match object."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            found = re.search(pattern, self.log.read_text(errors="replace"))
-            if found:
-                return found
+            match = re.search(pattern, self.log.read_text(errors="replace"))
+            if match:
+                return match
             if self.popen.poll() is not None:
                 break
             time.sleep(0.01)
-        raise RuntimeError(f"{self.name}: no {pattern!r} in its log:\n{self.last_words()}")
+        raise RuntimeError(f"{self.name}: no {pattern!r} in its log:\n{self.log_tail()}")
 
-    def last_words(self):
+    def log_tail(self):
         """The end of what the process wrote."""
         return self.log.read_text(errors="replace")[-4000:]
 
@@ -127,7 +127,7 @@
     # Starting
 
     def run(self, name, *command):
-        self.processes[name] = Process(name, [str(part) for part in command], self.folder)
+        self.processes[name] = Process(name, [str(argument) for argument in command], self.folder)
         return self.processes[name]
 
     def _start(self):
@@ -147,11 +147,11 @@
         layers = self.ranges[-1][1]
         per_process = max(1, (len(specs) + 3) // 4)
         for first in range(0, len(specs), per_process):
-            part = specs[first:first + per_process]
-            flag = ",".join(f"{name}=127.0.0.1:0:{begin}-{end}" for name, begin, end in part)
+            batch = specs[first:first + per_process]
+            flag = ",".join(f"{name}=127.0.0.1:0:{begin}-{end}" for name, begin, end in batch)
             process = self.run(f"engines-{first // per_process}", self.build / "stand-in-engine", f"--engines={flag}", f"--layers={layers}", "--adapters=clay",
                                *self.engine_flags)
-            for name, _, _ in part:
+            for name, _, _ in batch:
                 self.targets.append((name, "engine", process.wait_for(rf"listening {name} (\S+)").group(1)))
         for i in range(self.application_count):
             process = self.run(f"application-{i}", self.build / "stand-in-application")
@@ -174,9 +174,9 @@
             for port, key in (("callers", "caller-port"), ("operators", "operator-port"), ("peers", "peer-port")):
                 values[key] = self.addresses[name][port].rsplit(":", 1)[1]
         process = self.run(name, self.build / "parsley-entry", f"--settings={self._settings(name, 'entry', values)}")
-        found = process.wait_for(r"ProcessStarted id=\S+ callers=(\S+) operators=(\S+) peers=(\S+)")
-        self.addresses[name] = {"callers": found.group(1), "operators": found.group(2), "peers": found.group(3)}
-        self.list_instance(name, "entry", found.group(3))
+        match = process.wait_for(r"ProcessStarted id=\S+ callers=(\S+) operators=(\S+) peers=(\S+)")
+        self.addresses[name] = {"callers": match.group(1), "operators": match.group(2), "peers": match.group(3)}
+        self.register_instance(name, "entry", match.group(3))
 
     def start_sidecar(self, index):
         name, kind, target = self.targets[index]
@@ -185,14 +185,14 @@
                   "service": "booking" if kind == "application" else "", "target-class": "gpu-a",
                   "entries": ", ".join(self.addresses[entry]["peers"] for entry in self.entries()), **self.sidecar_settings}
         process = self.run(name, self.build / "parsley-sidecar", f"--settings={self._settings(name, 'sidecar', values)}")
-        found = process.wait_for(r"ProcessStarted id=\S+ links=(\S+) operators=(\S+)")
-        self.addresses[name] = {"links": found.group(1), "operators": found.group(2)}
-        self.list_instance(name, "sidecar", found.group(1))
+        match = process.wait_for(r"ProcessStarted id=\S+ links=(\S+) operators=(\S+)")
+        self.addresses[name] = {"links": match.group(1), "operators": match.group(2)}
+        self.register_instance(name, "sidecar", match.group(1))
 
     def entries(self):
         return [name for name in self.addresses if name.startswith("entry-")]
 
-    def list_instance(self, name, role, address, state="live"):
+    def register_instance(self, name, role, address, state="live"):
         host, port = address.rsplit(":", 1)
         self.request("PUT", f"http://{self.platform}/membership/{name}", {"role": role, "host": host, "port": int(port), "state": state})
 
@@ -210,11 +210,11 @@
         except urllib.error.HTTPError as error:
             return error.code, dict(error.headers), error.read().decode()
 
-    def operate(self, method, path, body=None, entry="entry-0", headers=None):
+    def operator_request(self, method, path, body=None, entry="entry-0", headers=None):
         return self.request(method, f"http://{self.addresses[entry]['operators']}/operator/v1{path}", body, headers, OPERATOR_KEY)
 
     def status(self, entry="entry-0"):
-        return json.loads(self.operate("GET", "/status", entry=entry)[2])
+        return json.loads(self.operator_request("GET", "/status", entry=entry)[2])
 
     def faults(self, **values):
         """Sets faults of the platform's stand-in: down, silent, slow_ms, lose_answers, list_lag_ms."""
@@ -236,7 +236,7 @@
 
     def apply(self, text, entry="entry-0"):
         """Applies a file; returns the version and the time at which it was accepted."""
-        code, _, body = self.operate("PUT", "/configuration", text, entry)
+        code, _, body = self.operator_request("PUT", "/configuration", text, entry)
         if code != 200:
             raise RuntimeError(f"apply: {code} {body}")
         return json.loads(body)["version"], time.monotonic()
