--- a/tests/client/client.test.mjs
+++ b/tests/client/client.test.mjs
@@ -1,4 +1,5 @@
-// An unchanged client library against a running system: PARSLEY_BASE_URL and PARSLEY_KEY say where.
+// Tests a running system with the unmodified OpenAI client library. PARSLEY_BASE_URL and PARSLEY_KEY give its address and the
+// caller's key.
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import OpenAI from 'openai';
@@ -11,7 +12,7 @@
     assert.deepEqual(models.data.map(model => model.id), ['chat']);
 });
 
-test('whole chat completion', async () => {
+test('complete chat completion', async () => {
     const response = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 9, temperature: 0.2 });
     assert.equal(response.choices[0].message.role, 'assistant');
     assert.ok(response.choices[0].message.content.length > 0);
@@ -39,7 +40,7 @@
     assert.ok(response.choices[0].text.length > 0);
 });
 
-test('a stream can be given up', async () => {
+test('a stream can be aborted by the client', async () => {
     const stream = await client.chat.completions.create({ model: 'chat', messages, max_tokens: 4000, stream: true });
     for await (const chunk of stream) {
         assert.ok(chunk.id);
@@ -48,7 +49,7 @@
     stream.controller.abort();
 });
 
-test('errors are the library\'s own classes', async () => {
+test('errors are instances of the library\'s own classes', async () => {
     await assert.rejects(client.chat.completions.create({ model: 'none', messages }), OpenAI.NotFoundError);
     await assert.rejects(client.chat.completions.create({ model: 'chat', messages, n: 2 }), error => {
         assert.ok(error instanceof OpenAI.BadRequestError);
--- a/tests/client_test.py
+++ b/tests/client_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Runs the client library's tests (tests/client) against a running system."""
+"""Starts a system and runs the tests of tests/client, which use the OpenAI client library, against it."""
 import os
 import pathlib
 import subprocess
--- a/tests/process_test.py
+++ b/tests/process_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Failures that need real processes: kills, stops, signals, and the command line."""
+"""Tests that need real processes: killed, paused and terminated processes under load, and the command line."""
 import functools
 import json
 import pathlib
@@ -26,7 +26,7 @@
 
 class ProcessTest(unittest.TestCase):
     def check_all_complete(self, result):
-        """Every answer was whole and the reference answer."""
+        """Every response was complete and equal to the reference response."""
         self.assertEqual(result["wrong"], 0)
         self.assertEqual(result["cut"], 0)
         self.assertEqual(result["refused"], 0)
@@ -34,14 +34,14 @@
         self.assertEqual(result["answered"], result["sent"])
 
     def test_two_thousand_streams(self):
-        """2,000 streams at once through two entries: none crossed, cut or altered."""
+        """2,000 concurrent streams through two entries: no response is mixed up with another, truncated or altered."""
         with system() as running:
             running.apply(running.configuration())
             running.wait_ready()
             self.check_all_complete(running.load("--streams=2000", "--requests=2000", "--max_tokens=16", "--prompt_words=20"))
 
     def run_under_load(self, action, entry_count=2):
-        """Runs a load, acts on the system in the middle of it, and returns the load's figures."""
+        """Runs a load, calls `action` in the middle of it, and returns the load's figures."""
         with system(engine_flags=SLOW_ENGINES, entries=entry_count) as running:
             running.apply(running.configuration())
             running.wait_ready()
@@ -49,30 +49,30 @@
             running.wait_until("streams", lambda: running.status()["streams"] >= 15)
             action(running)
             result = figures(load)
-            # Whatever is left must end cleanly: a crash at the end hides in no log.
+            # All processes that still run must exit with 0, so that a crash at shutdown fails the test.
             for name, process in running.processes.items():
                 if process.popen.poll() is None and name not in ("platform",):
                     self.assertEqual(process.stop(30), 0, f"{name} did not end cleanly:\n{process.log_tail()}")
             return result
 
     def test_sidecars_are_killed_under_load(self):
-        """SIGKILL of the sidecars of two different ranges, one after the other. Callers see whole answers."""
+        """SIGKILL of the sidecars of two different ranges, one after the other. Callers receive complete responses."""
         def action(running):
             running.signal("engine-0", signal.SIGKILL)
             running.signal("engine-3", signal.SIGKILL)
         self.check_all_complete(self.run_under_load(action))
 
     def test_a_sidecar_is_stopped_and_resumed_under_load(self):
-        """SIGSTOP: no link breaks, the sidecar is just silent. Its streams are taken over; when it is resumed, what it
-        still sends belongs to old attempts and changes nothing."""
+        """SIGSTOP: no link breaks, but the sidecar stops sending. Its streams move to another sidecar; after SIGCONT, frames that
+        it still sends belong to old attempts and are ignored."""
         def action(running):
             running.signal("engine-2", signal.SIGSTOP)
-            running.wait_until("the entry to miss it", lambda: any(t["id"] == "engine-2" and t["state"] == "Silent" for t in running.status()["targets"]))
+            running.wait_until("the entry to report it as silent", lambda: any(t["id"] == "engine-2" and t["state"] == "Silent" for t in running.status()["targets"]))
             running.signal("engine-2", signal.SIGCONT)
         self.check_all_complete(self.run_under_load(action))
 
     def test_a_sidecar_is_asked_to_stop_under_load(self):
-        """SIGTERM: its streams run to their end and it exits with 0."""
+        """SIGTERM: the sidecar completes its streams and exits with 0."""
         def action(running):
             process = running.processes["engine-1"].popen
             process.terminate()
@@ -80,7 +80,7 @@
         self.check_all_complete(self.run_under_load(action))
 
     def test_an_entry_is_asked_to_stop_under_load(self):
-        """SIGTERM: open answers are completed, later requests refused; it exits with 0 and nothing is cut."""
+        """SIGTERM: the entry completes open responses, refuses later requests and exits with 0; no response is truncated."""
         def action(running):
             process = running.processes["entry-1"].popen
             process.terminate()
@@ -90,7 +90,8 @@
         self.assertEqual(result["cut"], 0)
 
     def test_an_entry_is_killed_under_load(self):
-        """SIGKILL: its callers' answers are cut and can be seen to be; nothing else suffers, and sidecars get free."""
+        """SIGKILL: responses of its callers are truncated, and detectably so; responses through the other entry are complete, and
+        the sidecars free the streams."""
         with system(engine_flags=SLOW_ENGINES) as running:
             running.apply(running.configuration())
             running.wait_ready()
@@ -103,7 +104,7 @@
             running.wait_until("free sidecars", lambda: all(target["streams"] == 0 for target in running.status("entry-1")["targets"]))
 
     def test_the_platform_is_away_under_load(self):
-        """The platform is stopped, so that calls to it hang: answers go on, and nothing waits for it."""
+        """The platform is paused, so that calls to it hang: responses continue and do not wait for it."""
         def action(running):
             running.signal("platform", signal.SIGSTOP)
         self.check_all_complete(self.run_under_load(action))
@@ -154,7 +155,7 @@
             running.signal("entry-0", signal.SIGCONT)
 
     def test_help_and_settings_checks(self):
-        """Every program answers --help; daemons check their settings file without starting."""
+        """Every program supports --help; with --check, daemons check their settings file without starting."""
         build = pathlib.Path(__file__).resolve().parent.parent / BUILD
         for program in ("parsley-entry", "parsley-sidecar", "parsleyctl", "parsley-load", "stand-in-platform", "stand-in-engine", "stand-in-application"):
             done = subprocess.run([build / program, "--help"], capture_output=True, text=True, timeout=30)
@@ -172,7 +173,7 @@
 
 
 def pass_over_known_red():
-    """Failures of the tests that KNOWN-RED.txt lists are printed and do not fail the run; errors of theirs still do."""
+    """Assertion failures of tests listed in KNOWN-RED.txt are printed and do not fail the run; other exceptions still do."""
     listed = (pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt").read_text()
     for name in re.findall(r"^test: (\w+)$", listed, re.MULTILINE):
         test = getattr(ProcessTest, name)
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Measures parsleytrail with real processes and stand-ins on loopback."""
+"""Benchmarks of parsleytrail: real processes with stand-ins for platform, engines and applications, on loopback."""
 import argparse
 import json
 import signal
@@ -8,7 +8,7 @@
 
 from system import CALLER_KEY, System
 
-# A deployment is a shape of today's users: about forty engines in three data centres, three applications.
+# Sizes of the systems that users run at present: about forty engines in three data centres, three applications.
 DEPLOYMENTS = {
     "draaischijf": {"holders": 13, "entries": 3, "applications": 3},
     "drumback": {"holders": 13, "entries": 3, "applications": 3},
@@ -21,7 +21,7 @@
 
 
 def linear_fit(points):
-    """Least squares: (value per x, value at x = 0)."""
+    """Least-squares line through (x, y) points: (slope, value at x = 0)."""
     mean_x = statistics.mean(x for x, _ in points)
     mean_y = statistics.mean(y for _, y in points)
     squared_deviations = sum((x - mean_x) ** 2 for x, _ in points)
@@ -42,7 +42,8 @@
 
 
 def idle_cost(system, name, seconds):
-    """Idle use of one process: share of a core, private memory, datagram bytes a second both ways, store calls a second."""
+    """Resources that one process uses without load: percent of a core, private memory in MiB, datagram bytes per second in both
+    directions, store calls per second."""
     before, cpu = process_state(system, name), system.processes[name].cpu_seconds()
     time.sleep(seconds)
     after, used = process_state(system, name), system.processes[name].cpu_seconds() - cpu
@@ -59,7 +60,7 @@
 # Experiments
 
 def overhead(options):
-    """Time that parsleytrail adds, beside the same engine asked directly, at 1 and 16 streams."""
+    """Time that parsleytrail adds, compared with calling the same engine directly, at 1 and 16 streams."""
     with System(holders=1, entries=1, applications=0, ranges=[(0, 32)], data_centers=1) as system:
         system.apply(system.configuration())
         system.wait_ready()
@@ -78,7 +79,7 @@
 
 
 def streams(options):
-    """Memory for each open stream, and processor time for each token, in entry and sidecar."""
+    """Memory per open stream, and processor time per token, in entry and sidecar."""
     with System(holders=2, entries=2, applications=0, engine_flags=("--step_micros=20000",)) as system:
         system.apply(system.configuration())
         system.wait_ready()
@@ -86,7 +87,7 @@
         roles = {"entry": "entry-0", "sidecar": "engine-0"}
         points = {role: [] for role in roles}
         for count in (200, 1000, 2000):
-            # Streams cross one entry of two, and one of two sidecars of a range.
+            # A stream passes through one of the two entries and one of the two sidecars of each range.
             load = system.start_load(f"--streams={count}", f"--requests={count}", "--max_tokens=400", "--prompt_words=40")
             system.wait_until("all streams", lambda: sum(system.status(entry)["streams"] for entry in system.entries()) >= count * 0.8)
             time.sleep(1.5)
@@ -112,7 +113,7 @@
 
 
 def load(options):
-    """2,000 streams at once through two entries, on a chain of three ranges with two engines each."""
+    """2,000 concurrent streams through two entries, on a chain of three ranges with two engines each."""
     with System(holders=2, entries=2, applications=0) as system:
         system.apply(system.configuration())
         system.wait_ready()
@@ -122,7 +123,7 @@
 
 
 def time_in_force(system, text):
-    """Seconds from the acceptance of a file until every process has it in force."""
+    """Seconds from the acceptance of a configuration file until it is in force in every process."""
     version, accepted = system.apply(text)
 
     def is_everywhere():
@@ -135,7 +136,7 @@
 
 
 def configuration(options):
-    """Time from an accepted file to in force everywhere at 2, 10 and 50 processes, and with 2,600 workspaces."""
+    """Time until an accepted configuration file is in force everywhere, at 2, 10 and 50 processes, and with 2,600 workspaces."""
     for holders, entries, applications, label in ((0, 1, 1, "2"), (2, 3, 1, "10"), (15, 4, 1, "50")):
         with System(holders=holders, entries=entries, applications=applications) as system:
             system.apply(system.configuration())
@@ -155,7 +156,7 @@
 
 
 def slopes(options):
-    """Control cost of each role against the sizes that drive it, and what it puts on the store."""
+    """Idle resource use and store calls of each role, as a function of the number of targets, entries and workspaces."""
     by_targets = []
     for holders in (4, 16, 40):
         with System(holders=holders, entries=2, applications=0) as system:
@@ -195,7 +196,7 @@
 
 
 def run_with_failure(options, inject_failure):
-    """Acts in the middle of a load; the entries' histograms of recovery times and the load's figures."""
+    """Injects a failure a third into a load; returns the load's figures and the metrics texts of the entries still running."""
     shape = {**DEPLOYMENTS[options.deployment], "holders": 4}
     with System(**shape, engine_flags=("--step_micros=3000",), entry_settings={"announce-interval": "200ms", "silence-timeout": "1s"},
                 sidecar_settings={"announce-interval": "200ms"}) as system:
@@ -214,7 +215,8 @@
 
 
 def quantiles(texts, name):
-    """Quantiles of a histogram over several processes' OpenMetrics texts, at the buckets' upper ends; seconds."""
+    """Sums a histogram over several processes' OpenMetrics texts; returns its count and its quantiles in seconds, each as the
+    upper bound of its bucket."""
     buckets = {}
     for text in texts:
         previous = 0
@@ -237,7 +239,7 @@
 
 
 def recovery(options):
-    """Time from the last token before a failure to the first after it, for each kind of failure, under load."""
+    """Time from the last token before a failure to the first token after it, for each kind of failure, under load."""
     def hang(system):
         address = next(address for name, _, address in system.targets if name == "engine-0")
         system.request("POST", f"http://{address}/engine/v1/faults", {"hang": True})
@@ -247,7 +249,7 @@
         try:
             system.request("POST", f"http://{address}/engine/v1/faults", {"die": True})
         except OSError:
-            pass  # it dies before it has answered
+            pass  # the engine exits before it responds
 
     def data_center(system):
         for index, (name, kind, _) in enumerate(system.targets):
@@ -273,9 +275,9 @@
 
 
 def overload(options):
-    """Answers in time a second at 1, 2 and 3 times the load that saturates, without and with a target between tokens."""
-    # Three stages of 4 ms and 0.2 ms a stream: 39 ms between tokens with some 45 streams on each chain, found by
-    # trying: p95 of the gaps passes 39 ms at some 45 requests/s.
+    """Responses in time per second at 1, 2 and 3 times the saturating load, without and with a target for the time between tokens."""
+    # A step takes 4 ms plus 0.2 ms per stream at each of three stages: 39 ms between tokens with some 45 streams on each
+    # chain. The p95 of the time between tokens exceeds 39 ms at some 45 requests/s.
     saturation = 45
     for name, target in (("no_target", "0ms"), ("with_target", "39ms")):
         for factor in (1, 2, 3):
@@ -297,8 +299,8 @@
     parser = argparse.ArgumentParser(prog="tools/bench.sh", description="Measures parsleytrail on this machine. Prints one 'name value unit' line for each figure.",
                                      epilog="experiments: " + "; ".join(f"{name}: {function.__doc__.splitlines()[0]}" for name, function in EXPERIMENTS.items()))
     parser.add_argument("--deployment", choices=sorted(DEPLOYMENTS), default="draaischijf", help="shape of the system (default draaischijf)")
-    parser.add_argument("--experiment", choices=sorted(EXPERIMENTS), action="append", help="which to run; may be repeated (default: all)")
-    parser.add_argument("--seconds", type=float, default=9, help="length of each load of the recovery experiment (default 9)")
+    parser.add_argument("--experiment", choices=sorted(EXPERIMENTS), action="append", help="experiment to run; may be repeated (default: all)")
+    parser.add_argument("--seconds", type=float, default=9, help="length of each load of the recovery and overload experiments (default 9)")
     options = parser.parse_args()
     for name in options.experiment or EXPERIMENTS:
         EXPERIMENTS[name](options)
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures the system on this machine; prints one "name value unit" line for each figure.
+# Installs missing packages, builds, and measures the system on this machine. Prints one "name value unit" line per figure.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds everything, starts a small system on loopback, asks one question and makes one booking.
+# Builds the programs, starts a small system on loopback, and sends it one chat completion and one booking request.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -7,11 +7,11 @@
     cat <<'TEXT'
 Usage: tools/demo.sh [--keep] [--help]
 
-Installs what is missing, builds, and starts on loopback: a stand-in for the platform, two entries, a chain of three
-layer ranges with two engines each, and a booking application. Applies a configuration file, asks one streamed
-question, makes one booking, prints both answers and `parsleyctl status`, and stops everything.
+Installs missing packages, builds, and starts on loopback: a stand-in for the platform, two entries, a chain of three
+layer ranges with two engines each, and a booking application. Applies a configuration file, requests one streamed
+chat completion, makes one booking, prints both responses and `parsleyctl status`, and stops everything.
 
-  --keep   leave it running, print the addresses, and stop on Ctrl-C
+  --keep   keep the system running, print its addresses, and stop it on Ctrl-C
 TEXT
 }
 
@@ -45,20 +45,20 @@
 operator_key=operator-demo-key
 caller_key=studio-demo-key
 digest() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
-run() { # NAME COMMAND...: in the background, with a log
+run() { # NAME COMMAND...: runs the command in the background; its output goes to NAME.log
     local name=$1
     shift
     "$@" >"$work/$name.log" 2>&1 &
     pids+=($!)
 }
-wait_for() { # WHAT COMMAND...: until the command succeeds
+wait_for() { # WHAT COMMAND...: waits up to 20 s until the command succeeds
     local what=$1
     shift
     for _ in $(seq 1 200); do
         "$@" >/dev/null 2>&1 && return
         sleep 0.1
     done
-    echo "no $what after 20 s; logs:" >&2
+    echo "timed out after 20 s waiting for $what; logs:" >&2
     tail -n 5 "$work"/*.log >&2
     exit 1
 }
@@ -85,7 +85,7 @@
     run entry$i build/parsley-entry --settings="$work/entry$i.ini"
 done
 
-sidecar() { # ID LINK-PORT TARGET-PORT KIND DATA-CENTER [SERVICE]
+sidecar() { # starts a sidecar: ID LINK-PORT TARGET-PORT KIND DATA-CENTER [SERVICE]
     local service=${6:-} class=gpu-a
     [ -z "$service" ] || class=cpu
     cat >"$work/$1.ini" <<INI
@@ -157,7 +157,7 @@
 wait_for "ready entry" curl -sf "http://$PARSLEY_ENTRY/operator/v1/ready"
 wait_for "ready entry" curl -sf "http://127.0.0.1:$((base + 5))/operator/v1/ready"
 
-echo "== question (streamed)"
+echo "== chat completion (streamed)"
 answer=$(curl -sfN "$caller/v1/chat/completions" -H "Authorization: Bearer $caller_key" -H 'Content-Type: application/json' \
     -d '{"model": "chat", "stream": true, "max_tokens": 12, "messages": [{"role": "user", "content": "Which wheel is free on Friday?"}]}')
 printf '%s\n' "$answer"
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks formatting and lints all sources of our own.
+# Checks the formatting of all sources of this project and lints them.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -15,7 +15,8 @@
 clang-format --dry-run --Werror "${files[@]}"
 echo "format: clean (${#files[@]} files)"
 
-# Two types of one name in one namespace link without a word and use each other's functions.
+# Two types with the same name in one namespace violate the one-definition rule: they link without an error, and one may use
+# the functions of the other.
 repeated=$(grep -hE '^(struct|class|enum class) [A-Za-z]+( final)?( [:{]|$)' src/*/*.h src/*/*.cpp platform/* | awk '$1 == "enum" { print $3; next } { print $2 }' | sort | uniq -d)
 if [ -n "$repeated" ]; then
     echo "type names defined twice: $repeated"
@@ -23,7 +24,7 @@
 fi
 echo "type names: unique"
 
-# The precompiled database of the ordinary build; fuzzers have another compiler and are left to it.
+# clang-tidy uses the compilation database of the regular build. The fuzzers are left out: they are built with another compiler.
 cmake -S . -B build -G Ninja >/dev/null
 printf '%s\n' "${files[@]}" | grep '\.cpp$' | grep -v '/fuzz_' | xargs -P "$(nproc)" -n 2 clang-tidy -p build --quiet 2>/tmp/parsley-lint.$$ || { rm -f /tmp/parsley-lint.$$; exit 1; }
 rm -f /tmp/parsley-lint.$$
--- a/tools/system.py
+++ b/tools/system.py
@@ -1,11 +1,11 @@
-"""Starts systems of real processes on loopback, for the process tests and the bench.
+"""Starts systems of real processes on loopback, for the process tests and the benchmarks.
 
     with System(holders=2, entries=2) as system:
         system.apply(system.configuration())
         figures = system.load("--streams=10", "--requests=20")
         system.signal("engine-0", signal.SIGKILL)
 
-Every process is started with port 0 and read from its own log line, so that systems do not collide.
+Processes listen on port 0 and report the chosen ports in their logs, so that concurrent systems do not collide.
 """
 import hashlib
 import json
@@ -31,7 +31,7 @@
 
 
 class Process:
-    """A started process with its log."""
+    """A running process and its log file."""
 
     def __init__(self, name, command, folder):
         self.name = name
@@ -45,7 +45,7 @@
         return self.popen.pid
 
     def wait_for(self, pattern, seconds=20):
-        """First match of a pattern in what the process wrote, as a match object."""
+        """Waits until the process has logged text that matches the pattern; returns the first match object."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             match = re.search(pattern, self.log.read_text(errors="replace"))
@@ -57,11 +57,11 @@
         raise RuntimeError(f"{self.name}: no {pattern!r} in its log:\n{self.log_tail()}")
 
     def log_tail(self):
-        """The end of what the process wrote."""
+        """The last 4,000 characters of the log."""
         return self.log.read_text(errors="replace")[-4000:]
 
     def memory_bytes(self):
-        """Resident memory; private pages only, since libraries are shared by all processes of the machine."""
+        """Resident memory in private pages only, since pages of libraries are shared by all processes of the machine."""
         text = pathlib.Path(f"/proc/{self.pid}/smaps_rollup").read_text()
         return 1024 * sum(int(kb) for kb in re.findall(r"^Private_(?:Clean|Dirty):\s+(\d+)", text, re.M))
 
@@ -74,7 +74,7 @@
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def stop(self, seconds=10):
-        """Ends the process: asked first, killed if it does not go."""
+        """Terminates the process, and kills it if it has not exited after `seconds`. Returns its exit status."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -87,7 +87,7 @@
 
 
 class System:
-    """Platform, engines, an application, sidecars and entries."""
+    """A system of a platform stand-in, engines, applications, sidecars and entries; `holders` is the number of engines per range."""
 
     def __init__(self, holders=2, entries=2, applications=1, ranges=None, build="build", data_centers=3, engine_flags=(), entry_settings=None,
                  sidecar_settings=None, application_slow_ms=0):
@@ -143,7 +143,7 @@
         for begin, end in self.ranges:
             for _ in range(self.holders):
                 specs.append((f"engine-{len(specs)}", begin, end))
-        # A few processes carry all engines, so that one busy loop does not hold up the others.
+        # The engines are spread over at most four processes, so that a busy event loop delays only the engines of its process.
         layers = self.ranges[-1][1]
         per_process = max(1, (len(specs) + 3) // 4)
         for first in range(0, len(specs), per_process):
@@ -196,10 +196,10 @@
         host, port = address.rsplit(":", 1)
         self.request("PUT", f"http://{self.platform}/membership/{name}", {"role": role, "host": host, "port": int(port), "state": state})
 
-    # Acting
+    # Requests and signals
 
     def request(self, method, url, body=None, headers=None, key=None, timeout=30):
-        """Status, headers and body of an answer; errors of HTTP are answers too."""
+        """Status, headers and body of the response, also for HTTP error statuses."""
         data = body.encode() if isinstance(body, str) else json.dumps(body).encode() if body is not None else None
         request = urllib.request.Request(url, data=data, method=method, headers=headers or {})
         if key:
@@ -217,7 +217,7 @@
         return json.loads(self.operator_request("GET", "/status", entry=entry)[2])
 
     def faults(self, **values):
-        """Sets faults of the platform's stand-in: down, silent, slow_ms, lose_answers, list_lag_ms."""
+        """Injects faults into the platform stand-in: down, silent, slow_ms, lose_answers, list_lag_ms."""
         self.request("POST", f"http://{self.platform}/faults", {key.replace("_", "-"): value for key, value in values.items()})
 
     def counters(self):
@@ -235,7 +235,7 @@
         return "\n".join(parts) + extra
 
     def apply(self, text, entry="entry-0"):
-        """Applies a file; returns the version and the time at which it was accepted."""
+        """Applies a configuration file; returns its version and the time at which it was accepted."""
         code, _, body = self.operator_request("PUT", "/configuration", text, entry)
         if code != 200:
             raise RuntimeError(f"apply: {code} {body}")
@@ -247,10 +247,10 @@
             if done():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"waited in vain for {what}")
+        raise RuntimeError(f"timed out waiting for {what}")
 
     def wait_ready(self):
-        """Until each entry is ready, sees every target as ready, and all have its version."""
+        """Waits until each entry is ready and lists every target as ready, with the same configuration version as the entry."""
         def is_ready(entry):
             status = self.status(entry)
             version = status["configuration"]["version"]
@@ -264,7 +264,7 @@
         return subprocess.Popen([str(self.build / "parsley-load"), f"--entries={addresses}", f"--layers={self.ranges[-1][1]}", *flags], stdout=subprocess.PIPE, text=True)
 
     def load(self, *flags, entries=None):
-        """Runs parsley-load and returns its figures."""
+        """Runs parsley-load to its end and returns its figures by name."""
         return figures(self.start_load(*flags, entries=entries))
 
     def signal(self, name, number):
@@ -274,6 +274,6 @@
 
 
 def figures(load):
-    """Figures of a finished parsley-load."""
+    """Waits for a parsley-load process and returns the figures it printed, by name."""
     output, _ = load.communicate()
     return {name: float(value) for name, value, _ in (line.split(" ", 2) for line in output.splitlines())}
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs all tests.
+# Installs missing packages, builds, and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -7,7 +7,7 @@
     cat <<'TEXT'
 Usage: tools/test.sh [--sanitize] [--help]
 
-Installs what is missing, builds, and runs all tests.
+Installs missing packages, builds, and runs all tests.
 
   --sanitize   build with the address and undefined behaviour sanitizers (in build-sanitize) and run the tests there
 TEXT
