--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -160,24 +160,24 @@
     HttpStreamHandlers handlers;
     const std::weak_ptr<bool> weak = alive;
     handlers.onHead = [this, weak, request](int status, const HttpHeaders &headers) {
-        SidecarCall *held = weak.expired() ? nullptr : find(request);
-        if (!held) {
+        SidecarCall *openCall = weak.expired() ? nullptr : find(request);
+        if (!openCall) {
             return;
         }
-        held->hasHead = true;
+        openCall->hasHead = true;
         CallHead head{request, static_cast<std::uint32_t>(status), {}};
         for (const HttpHeader &header : headers) {
             if (!isHopByHop(header.name)) {
                 head.headers.push_back({header.name, header.value});
             }
         }
-        if (held->entry) {
-            held->entry->send(head);
+        if (openCall->entry) {
+            openCall->entry->send(head);
         }
     };
     handlers.onData = [this, weak, request](std::string_view bytes) {
-        if (SidecarCall *held = weak.expired() ? nullptr : find(request)) {
-            handleResponseData(*held, bytes);
+        if (SidecarCall *openCall = weak.expired() ? nullptr : find(request)) {
+            handleResponseData(*openCall, bytes);
         }
     };
     handlers.onDone = [this, weak, request](const std::optional<HttpFailure> &failure) {
@@ -186,8 +186,8 @@
         }
     };
     const HttpCallPtr http = context.client.stream(context.targetAddress, std::move(out), std::move(handlers));
-    if (SidecarCall *held = find(request)) {
-        held->http = http;
+    if (SidecarCall *openCall = find(request)) {
+        openCall->http = http;
     }
 }
 
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -207,11 +207,11 @@
         inject_failure(system)
         output, _ = process.communicate()
         result = {name: float(value) for name, value, _ in (text.split(" ", 2) for text in output.splitlines())}
-        times = []
+        metrics_texts = []
         for entry in system.entries():
             if system.processes[entry].popen.poll() is None:
-                times.append(system.request("GET", f"http://{system.addresses[entry]['operators']}/operator/v1/metrics", key="operator-key")[2])
-        return result, times
+                metrics_texts.append(system.request("GET", f"http://{system.addresses[entry]['operators']}/operator/v1/metrics", key="operator-key")[2])
+        return result, metrics_texts
 
 
 def quantiles(texts, name):
--- a/tools/system.py
+++ b/tools/system.py
@@ -205,8 +205,8 @@
         if key:
             request.add_header("Authorization", f"Bearer {key}")
         try:
-            with urllib.request.urlopen(request, timeout=timeout) as answer:
-                return answer.status, dict(answer.headers), answer.read().decode()
+            with urllib.request.urlopen(request, timeout=timeout) as response:
+                return response.status, dict(response.headers), response.read().decode()
         except urllib.error.HTTPError as error:
             return error.code, dict(error.headers), error.read().decode()
 
