--- a/src/sidecar/announcer.h
+++ b/src/sidecar/announcer.h
@@ -38,6 +38,6 @@
 constexpr std::uint32_t reportsBetweenAnnouncements = 15;          ///< load reports between two full announcements; a report is a quarter of the size
 constexpr milliseconds membershipPollIntervalWithoutEntries{1000}; ///< between reads of the membership list while no entry is known
 constexpr milliseconds membershipPollInterval{30000};              ///< otherwise; 3,100 sidecars then make 103 reads a second
-constexpr milliseconds knownEntryLifetime{60000};                  ///< an entry neither announced nor listed for this long is removed
+constexpr milliseconds knownEntryLifetime{60000};                  ///< an entry neither announced nor listed for this long is removed, unless the store is down
 
 } // namespace Parsleytrail
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -20,7 +20,7 @@
 
 /// An open call.
 struct SidecarCall {
-    CallRequest head;                ///< as received
+    CallRequest head;                ///< method, path and headers, as received
     std::string body;                ///< request body collected so far
     LinkPtr entry;                   ///< receives the response; null once it closed
     HttpCallPtr http;                ///< request to the application; set once handed over
