--- a/tools/system.py
+++ b/tools/system.py
@@ -1,11 +1,11 @@
-"""Starts systems of real processes on loopback, for the process tests and the bench.
+"""Starts systems of real processes on loopback, for the process tests and the benchmarks.
 
     with System(holders=2, entries=2) as system:
         system.apply(system.configuration())
         figures = system.load("--streams=10", "--requests=20")
         system.signal("engine-0", signal.SIGKILL)
 
-Every process is started with port 0 and read from its own log line, so that systems do not collide.
+Processes listen on port 0 and report the chosen ports in their logs, so that concurrent systems do not collide.
 """
 import hashlib
 import json
@@ -31,7 +31,7 @@
 
 
 class Process:
-    """A started process with its log."""
+    """A running process and its log file."""
 
     def __init__(self, name, command, folder):
         self.name = name
@@ -45,23 +45,23 @@
         return self.popen.pid
 
     def wait_for(self, pattern, seconds=20):
-        """First match of a pattern in what the process wrote, as a match object."""
+        """Waits until the process has logged text that matches the pattern; returns the first match object."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            found = re.search(pattern, self.log.read_text(errors="replace"))
-            if found:
-                return found
+            match = re.search(pattern, self.log.read_text(errors="replace"))
+            if match:
+                return match
             if self.popen.poll() is not None:
                 break
             time.sleep(0.01)
-        raise RuntimeError(f"{self.name}: no {pattern!r} in its log:\n{self.last_words()}")
+        raise RuntimeError(f"{self.name}: no {pattern!r} in its log:\n{self.log_tail()}")
 
-    def last_words(self):
-        """The end of what the process wrote."""
+    def log_tail(self):
+        """The last 4,000 characters of the log."""
         return self.log.read_text(errors="replace")[-4000:]
 
     def memory_bytes(self):
-        """Resident memory; private pages only, since libraries are shared by all processes of the machine."""
+        """Resident memory in private pages only, since pages of libraries are shared by all processes of the machine."""
         text = pathlib.Path(f"/proc/{self.pid}/smaps_rollup").read_text()
         return 1024 * sum(int(kb) for kb in re.findall(r"^Private_(?:Clean|Dirty):\s+(\d+)", text, re.M))
 
@@ -74,7 +74,7 @@
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
     def stop(self, seconds=10):
-        """Ends the process: asked first, killed if it does not go."""
+        """Terminates the process, and kills it if it has not exited after `seconds`. Returns its exit status."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -87,7 +87,7 @@
 
 
 class System:
-    """Platform, engines, an application, sidecars and entries."""
+    """A system of a platform stand-in, engines, applications, sidecars and entries; `holders` is the number of engines per range."""
 
     def __init__(self, holders=2, entries=2, applications=1, ranges=None, build="build", data_centers=3, engine_flags=(), entry_settings=None,
                  sidecar_settings=None, application_slow_ms=0):
@@ -127,7 +127,7 @@
     # Starting
 
     def run(self, name, *command):
-        self.processes[name] = Process(name, [str(part) for part in command], self.folder)
+        self.processes[name] = Process(name, [str(argument) for argument in command], self.folder)
         return self.processes[name]
 
     def _start(self):
@@ -143,15 +143,15 @@
         for begin, end in self.ranges:
             for _ in range(self.holders):
                 specs.append((f"engine-{len(specs)}", begin, end))
-        # A few processes carry all engines, so that one busy loop does not hold up the others.
+        # The engines are spread over at most four processes, so that a busy event loop delays only the engines of its process.
         layers = self.ranges[-1][1]
         per_process = max(1, (len(specs) + 3) // 4)
         for first in range(0, len(specs), per_process):
-            part = specs[first:first + per_process]
-            flag = ",".join(f"{name}=127.0.0.1:0:{begin}-{end}" for name, begin, end in part)
+            batch = specs[first:first + per_process]
+            flag = ",".join(f"{name}=127.0.0.1:0:{begin}-{end}" for name, begin, end in batch)
             process = self.run(f"engines-{first // per_process}", self.build / "stand-in-engine", f"--engines={flag}", f"--layers={layers}", "--adapters=clay",
                                *self.engine_flags)
-            for name, _, _ in part:
+            for name, _, _ in batch:
                 self.targets.append((name, "engine", process.wait_for(rf"listening {name} (\S+)").group(1)))
         for i in range(self.application_count):
             process = self.run(f"application-{i}", self.build / "stand-in-application")
@@ -174,9 +174,9 @@
             for port, key in (("callers", "caller-port"), ("operators", "operator-port"), ("peers", "peer-port")):
                 values[key] = self.addresses[name][port].rsplit(":", 1)[1]
         process = self.run(name, self.build / "parsley-entry", f"--settings={self._settings(name, 'entry', values)}")
-        found = process.wait_for(r"ProcessStarted id=\S+ callers=(\S+) operators=(\S+) peers=(\S+)")
-        self.addresses[name] = {"callers": found.group(1), "operators": found.group(2), "peers": found.group(3)}
-        self.list_instance(name, "entry", found.group(3))
+        match = process.wait_for(r"ProcessStarted id=\S+ callers=(\S+) operators=(\S+) peers=(\S+)")
+        self.addresses[name] = {"callers": match.group(1), "operators": match.group(2), "peers": match.group(3)}
+        self.register_instance(name, "entry", match.group(3))
 
     def start_sidecar(self, index):
         name, kind, target = self.targets[index]
@@ -185,39 +185,39 @@
                   "service": "booking" if kind == "application" else "", "target-class": "gpu-a",
                   "entries": ", ".join(self.addresses[entry]["peers"] for entry in self.entries()), **self.sidecar_settings}
         process = self.run(name, self.build / "parsley-sidecar", f"--settings={self._settings(name, 'sidecar', values)}")
-        found = process.wait_for(r"ProcessStarted id=\S+ links=(\S+) operators=(\S+)")
-        self.addresses[name] = {"links": found.group(1), "operators": found.group(2)}
-        self.list_instance(name, "sidecar", found.group(1))
+        match = process.wait_for(r"ProcessStarted id=\S+ links=(\S+) operators=(\S+)")
+        self.addresses[name] = {"links": match.group(1), "operators": match.group(2)}
+        self.register_instance(name, "sidecar", match.group(1))
 
     def entries(self):
         return [name for name in self.addresses if name.startswith("entry-")]
 
-    def list_instance(self, name, role, address, state="live"):
+    def register_instance(self, name, role, address, state="live"):
         host, port = address.rsplit(":", 1)
         self.request("PUT", f"http://{self.platform}/membership/{name}", {"role": role, "host": host, "port": int(port), "state": state})
 
-    # Acting
+    # Requests and signals
 
     def request(self, method, url, body=None, headers=None, key=None, timeout=30):
-        """Status, headers and body of an answer; errors of HTTP are answers too."""
+        """Status, headers and body of the response, also for HTTP error statuses."""
         data = body.encode() if isinstance(body, str) else json.dumps(body).encode() if body is not None else None
         request = urllib.request.Request(url, data=data, method=method, headers=headers or {})
         if key:
             request.add_header("Authorization", f"Bearer {key}")
         try:
-            with urllib.request.urlopen(request, timeout=timeout) as answer:
-                return answer.status, dict(answer.headers), answer.read().decode()
+            with urllib.request.urlopen(request, timeout=timeout) as response:
+                return response.status, dict(response.headers), response.read().decode()
         except urllib.error.HTTPError as error:
             return error.code, dict(error.headers), error.read().decode()
 
-    def operate(self, method, path, body=None, entry="entry-0", headers=None):
+    def operator_request(self, method, path, body=None, entry="entry-0", headers=None):
         return self.request(method, f"http://{self.addresses[entry]['operators']}/operator/v1{path}", body, headers, OPERATOR_KEY)
 
     def status(self, entry="entry-0"):
-        return json.loads(self.operate("GET", "/status", entry=entry)[2])
+        return json.loads(self.operator_request("GET", "/status", entry=entry)[2])
 
     def faults(self, **values):
-        """Sets faults of the platform's stand-in: down, silent, slow_ms, lose_answers, list_lag_ms."""
+        """Injects faults into the platform stand-in: down, silent, slow_ms, lose_answers, list_lag_ms."""
         self.request("POST", f"http://{self.platform}/faults", {key.replace("_", "-"): value for key, value in values.items()})
 
     def counters(self):
@@ -235,8 +235,8 @@
         return "\n".join(parts) + extra
 
     def apply(self, text, entry="entry-0"):
-        """Applies a file; returns the version and the time at which it was accepted."""
-        code, _, body = self.operate("PUT", "/configuration", text, entry)
+        """Applies a configuration file; returns its version and the time at which it was accepted."""
+        code, _, body = self.operator_request("PUT", "/configuration", text, entry)
         if code != 200:
             raise RuntimeError(f"apply: {code} {body}")
         return json.loads(body)["version"], time.monotonic()
@@ -247,10 +247,10 @@
             if done():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"waited in vain for {what}")
+        raise RuntimeError(f"timed out waiting for {what}")
 
     def wait_ready(self):
-        """Until each entry is ready, sees every target as ready, and all have its version."""
+        """Waits until each entry is ready and lists every target as ready, with the same configuration version as the entry."""
         def is_ready(entry):
             status = self.status(entry)
             version = status["configuration"]["version"]
@@ -264,7 +264,7 @@
         return subprocess.Popen([str(self.build / "parsley-load"), f"--entries={addresses}", f"--layers={self.ranges[-1][1]}", *flags], stdout=subprocess.PIPE, text=True)
 
     def load(self, *flags, entries=None):
-        """Runs parsley-load and returns its figures."""
+        """Runs parsley-load to its end and returns its figures by name."""
         return figures(self.start_load(*flags, entries=entries))
 
     def signal(self, name, number):
@@ -274,6 +274,6 @@
 
 
 def figures(load):
-    """Figures of a finished parsley-load."""
+    """Waits for a parsley-load process and returns the figures it printed, by name."""
     output, _ = load.communicate()
     return {name: float(value) for name, value, _ in (line.split(" ", 2) for line in output.splitlines())}
