--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -213,7 +213,7 @@
     // What was shown is what is replaced: if another operator was faster, this file is refused and not merged blindly.
     const std::string path = std::string("/operator/v1/configuration") + (options.isDryRun ? "?dry-run" : "");
     const HttpResult result = askOperator(options.target, "PUT", path, text, {{"If-Match", "\"" + std::to_string(base) + "\""}});
-    if (result.failure && result.failure->wasHandedOver) {
+    if (result.failure && result.failure->mayHaveBeenSent) {
         std::cerr << "the entry did not answer: the file may be accepted yet; look at `parsleyctl history`\n";
         return ExitUnknown;
     }
--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -139,7 +139,7 @@
     handlers.onToken = [this, answer](const TokenFrame &token) {
         measure(*answer);
         pushToken(*answer, token);
-        if (answer->exchange->buffered() > maxCallerBacklogBytes) {
+        if (answer->exchange->unsentBytes() > maxCallerBacklogBytes) {
             answer->exchange->abort();
             abandon(*answer);
         }
@@ -177,7 +177,7 @@
 {
     ++openInAll;
     ++openByWorkspace[answer->workspace];
-    answer->exchange->onClosed([this, answer] {
+    answer->exchange->onDisconnected([this, answer] {
         abandon(*answer);
     });
     const auto begin = [this, answer, request = std::make_shared<StreamRequest>(std::move(request))] {
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -38,7 +38,7 @@
     std::unique_ptr<ServiceCalls> calls;
     std::unique_ptr<Completions> completions;
     std::unique_ptr<ConfigurationKeeper> keeper;
-    std::unique_ptr<Datagrams> datagrams;
+    std::unique_ptr<DatagramSocket> datagrams;
     std::unique_ptr<Peers> peers;
     std::unique_ptr<LinkServer> peerServer;
     std::unique_ptr<CallerApi> callers;
@@ -156,7 +156,7 @@
     calls = std::make_unique<ServiceCalls>(*context, *targets, *keys, *work);
     completions = std::make_unique<Completions>(*context, *streams, *guard, *work);
     keeper = std::make_unique<ConfigurationKeeper>(*context, *store);
-    datagrams = std::make_unique<Datagrams>(loop, static_cast<std::uint16_t>(settings.wireVersion), [this](const Frame &frame, const Address &from) {
+    datagrams = std::make_unique<DatagramSocket>(loop, static_cast<std::uint16_t>(settings.wireVersion), [this](const Frame &frame, const Address &from) {
         return takeDatagram(frame, from);
     });
     peers = std::make_unique<Peers>(*context, *store, *datagrams, std::move(seeds), [this](EntryAnnouncement &announcement) {
@@ -234,19 +234,19 @@
 {
     switch (frame.message) {
     case ConfigurationUpdate::messageId:
-        return decodeAnd<ConfigurationUpdate>(frame, [&](const ConfigurationUpdate &update) {
+        return decodeAndHandle<ConfigurationUpdate>(frame, [&](const ConfigurationUpdate &update) {
             keeper->take(link, update);
         });
     case ConfigurationWanted::messageId:
-        return decodeAnd<ConfigurationWanted>(frame, [&](const ConfigurationWanted &wanted) {
+        return decodeAndHandle<ConfigurationWanted>(frame, [&](const ConfigurationWanted &wanted) {
             keeper->sendTo(link, wanted.version, link->peer().role == Role::Entry ? SectionScope::All : SectionScope::WithoutWorkspaces);
         });
     case SuspicionNotice::messageId:
-        return decodeAnd<SuspicionNotice>(frame, [&](const SuspicionNotice &notice) {
+        return decodeAndHandle<SuspicionNotice>(frame, [&](const SuspicionNotice &notice) {
             guard->take(notice);
         });
     case StageUsage::messageId:
-        return decodeAnd<StageUsage>(frame, [&](const StageUsage &usage) {
+        return decodeAndHandle<StageUsage>(frame, [&](const StageUsage &usage) {
             work->takeUsage(usage, acceleratorOf(usage.target));
         });
     case TokenFrame::messageId:
@@ -262,11 +262,11 @@
 {
     switch (frame.message) {
     case Announcement::messageId:
-        return decodeAnd<Announcement>(frame, [&](const Announcement &announcement) {
+        return decodeAndHandle<Announcement>(frame, [&](const Announcement &announcement) {
             targets->take(announcement, keeper->inForce().version);
         });
     case LoadReport::messageId:
-        return decodeAnd<LoadReport>(frame, [&](const LoadReport &report) {
+        return decodeAndHandle<LoadReport>(frame, [&](const LoadReport &report) {
             if (!targets->take(report)) {
                 // Unknown here, most likely since this process has just started: the sidecar announces itself in full to an
                 // entry that it hears of for the first time.
@@ -274,7 +274,7 @@
             }
         });
     case EntryAnnouncement::messageId:
-        return decodeAnd<EntryAnnouncement>(frame, [&](const EntryAnnouncement &peer) {
+        return decodeAndHandle<EntryAnnouncement>(frame, [&](const EntryAnnouncement &peer) {
             peers->take(peer);
         });
     default:
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -11,7 +11,7 @@
 struct Peers::Private {
     EntryContext &context;
     Store &store;
-    Datagrams &datagrams;
+    DatagramSocket &datagrams;
     std::vector<Address> seeds;
     std::function<void(EntryAnnouncement &)> describe;
     std::function<void(const EntryAnnouncement &)> heard;
@@ -80,7 +80,7 @@
     leaving(leavingTargets);
 }
 
-Peers::Peers(EntryContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(EntryAnnouncement &)> describe)
+Peers::Peers(EntryContext &context, Store &store, DatagramSocket &datagrams, std::vector<Address> seeds, std::function<void(EntryAnnouncement &)> describe)
     : d(new Private{context, store, datagrams, std::move(seeds), std::move(describe)})
 {
 }
--- a/src/entry/peers.h
+++ b/src/entry/peers.h
@@ -24,7 +24,7 @@
 {
 public:
     /// `describe` fills in state and configuration.
-    Peers(EntryContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(EntryAnnouncement &)> describe);
+    Peers(EntryContext &context, Store &store, DatagramSocket &datagrams, std::vector<Address> seeds, std::function<void(EntryAnnouncement &)> describe);
     ~Peers();
 
     /// Called when an entry announced itself.
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -193,7 +193,7 @@
 {
     const RequestId id = call.id;
     ++openByWorkspace[call.caller.workspace];
-    call.exchange->onClosed([this, id, weak = std::weak_ptr(alive)] {
+    call.exchange->onDisconnected([this, id, weak = std::weak_ptr(alive)] {
         if (!weak.expired()) {
             abandoned(id);
         }
@@ -463,15 +463,15 @@
 {
     switch (frame.message) {
     case CallHead::messageId:
-        return decodeAnd<CallHead>(frame, [&](const CallHead &message) {
+        return decodeAndHandle<CallHead>(frame, [&](const CallHead &message) {
             d->takeHead(message);
         });
     case CallBody::messageId:
-        return decodeAnd<CallBody>(frame, [&](const CallBody &message) {
+        return decodeAndHandle<CallBody>(frame, [&](const CallBody &message) {
             d->takeBody(message);
         });
     case CallFailed::messageId:
-        return decodeAnd<CallFailed>(frame, [&](const CallFailed &message) {
+        return decodeAndHandle<CallFailed>(frame, [&](const CallFailed &message) {
             d->failed(message.request, message.outcome, {message.step, "", message.text});
         });
     default:
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -544,15 +544,15 @@
 {
     switch (frame.message) {
     case TokenFrame::messageId:
-        return decodeAnd<TokenFrame>(frame, [&](const TokenFrame &message) {
+        return decodeAndHandle<TokenFrame>(frame, [&](const TokenFrame &message) {
             d->takeToken(message);
         });
     case StageFailed::messageId:
-        return decodeAnd<StageFailed>(frame, [&](const StageFailed &message) {
+        return decodeAndHandle<StageFailed>(frame, [&](const StageFailed &message) {
             d->takeFailure(message);
         });
     case StageReport::messageId:
-        return decodeAnd<StageReport>(frame, [&](const StageReport &message) {
+        return decodeAndHandle<StageReport>(frame, [&](const StageReport &message) {
             d->takeReport(message);
         });
     default:
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -44,19 +44,19 @@
     }
 
     EventLoop &loop;
-    std::map<Address, std::vector<HttpConnectionPtr>> idle;
+    std::map<Address, std::vector<HttpConnectionPtr>> idleConnections;
     std::set<std::shared_ptr<HttpCallState>> calls; ///< on their way
 
-    HttpConnectionPtr connection(const Address &address, bool isFresh);
-    void release(const HttpConnectionPtr &connection);
+    HttpConnectionPtr acquireConnection(const Address &address, bool isFresh);
+    void releaseConnection(const HttpConnectionPtr &connection);
 };
 
-HttpConnectionPtr HttpClientState::connection(const Address &address, bool isFresh)
+HttpConnectionPtr HttpClientState::acquireConnection(const Address &address, bool isFresh)
 {
-    auto &kept = idle[address];
-    if (!isFresh && !kept.empty()) {
-        HttpConnectionPtr connection = kept.back();
-        kept.pop_back();
+    auto &available = idleConnections[address];
+    if (!isFresh && !available.empty()) {
+        HttpConnectionPtr connection = available.back();
+        available.pop_back();
         connection->isFresh = false;
         connection->hasWritten = false;
         return connection;
@@ -73,11 +73,11 @@
     return connection;
 }
 
-void HttpClientState::release(const HttpConnectionPtr &connection)
+void HttpClientState::releaseConnection(const HttpConnectionPtr &connection)
 {
-    auto &kept = idle[connection->address];
-    if (kept.size() < maxIdleConnections) {
-        kept.push_back(connection);
+    auto &available = idleConnections[connection->address];
+    if (available.size() < maxIdleConnections) {
+        available.push_back(connection);
     }
 }
 
@@ -97,15 +97,15 @@
     bool isPaused = false;
 
     void finish(const std::optional<HttpFailure> &failure);
-    void breakConnection();
+    void discardConnection();
     void failWith(const std::string &text, bool isTimeout);
-    void takeHead();
-    void takeData();
+    void handleHead();
+    void handleData();
     static void onComplete(evhttp_request *request, void *arg);
 };
 
 /// Gives the connection up; it can't be freed while evhttp still runs on its stack.
-void HttpCallState::breakConnection()
+void HttpCallState::discardConnection()
 {
     if (raw) {
         evhttp_request_set_chunked_cb(raw, nullptr);
@@ -140,14 +140,14 @@
     HttpFailure failure;
     failure.error = {"HTTP request", connection->address.toString(), text};
     // On a kept connection the bytes may sit in a socket that the server has just closed: nobody can tell.
-    failure.wasHandedOver = !connection->isFresh || connection->hasWritten;
+    failure.mayHaveBeenSent = !connection->isFresh || connection->hasWritten;
     failure.hasWritten = connection->hasWritten;
     failure.isTimeout = isTimeout;
-    breakConnection();
+    discardConnection();
     finish(failure);
 }
 
-void HttpCallState::takeHead()
+void HttpCallState::handleHead()
 {
     if (hasHead || !raw) {
         return;
@@ -163,14 +163,14 @@
     }
 }
 
-void HttpCallState::takeData()
+void HttpCallState::handleData()
 {
     evbuffer *buffer = evhttp_request_get_input_buffer(raw);
     const std::size_t size = evbuffer_get_length(buffer);
     if (size == 0) {
         return;
     }
-    takeHead();
+    handleHead();
     bodyBytes += size;
     if (bodyBytes > maxBodyBytes) {
         return failWith("answer over " + std::to_string(maxBodyBytes) + " bytes", false);
@@ -200,9 +200,9 @@
         self->raw = nullptr;
         return self->failWith(self->errorText, false);
     }
-    self->takeHead();
+    self->handleHead();
     if (!self->isOver && self->raw) {
-        self->takeData();
+        self->handleData();
     }
     if (self->isOver || !self->connection) {
         return;
@@ -210,7 +210,7 @@
     self->raw = nullptr;
     self->client->loop.defer([client = self->client->weak_from_this(), connection = self->connection] {
         if (const auto state = client.lock()) {
-            state->release(connection);
+            state->releaseConnection(connection);
         }
     });
     self->connection.reset();
@@ -228,7 +228,7 @@
         return;
     }
     d->handlers = {};
-    d->breakConnection();
+    d->discardConnection();
     d->finish(std::nullopt);
 }
 
@@ -266,7 +266,7 @@
     }
 }
 
-static evhttp_cmd_type toCommand(const std::string &method)
+static evhttp_cmd_type toEvhttpCommand(const std::string &method)
 {
     static const std::map<std::string, evhttp_cmd_type> commands = {
         {"GET", EVHTTP_REQ_GET},       {"POST", EVHTTP_REQ_POST},       {"HEAD", EVHTTP_REQ_HEAD},   {"PUT", EVHTTP_REQ_PUT},
@@ -284,17 +284,17 @@
     state->client = d.get();
     state->handlers = std::move(handlers);
     state->maxBodyBytes = request.maxBodyBytes;
-    state->connection = d->connection(address, request.useFreshConnection);
+    state->connection = d->acquireConnection(address, request.useFreshConnection);
     state->raw = evhttp_request_new(HttpCallState::onComplete, state);
     evhttp_request_set_header_cb(state->raw, [](evhttp_request *, void *arg) {
         const auto self = static_cast<HttpCallState *>(arg)->shared_from_this();
-        self->takeHead();
+        self->handleHead();
         return 0;
     });
     evhttp_request_set_chunked_cb(state->raw, [](evhttp_request *, void *arg) {
         const auto self = static_cast<HttpCallState *>(arg)->shared_from_this();
         if (!self->isOver && self->raw) {
-            self->takeData();
+            self->handleData();
         }
     });
     evhttp_request_set_error_cb(state->raw, [](evhttp_request_error error, void *arg) {
@@ -320,8 +320,8 @@
     state->deadline->start(request.timeout);
     d->calls.insert(call->d);
     const auto keep = call->d;
-    const int made = evhttp_make_request(state->connection->raw, state->raw, toCommand(request.method), request.path.c_str());
-    if (made != 0 && !state->isOver) {
+    const int makeResult = evhttp_make_request(state->connection->raw, state->raw, toEvhttpCommand(request.method), request.path.c_str());
+    if (makeResult != 0 && !state->isOver) {
         d->loop.defer([keep] {
             if (!keep->isOver) {
                 keep->raw = nullptr;
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -28,10 +28,10 @@
 
 /// Why a request got no (whole) answer.
 struct HttpFailure {
-    Error error;               ///< step "HTTP request" and the peer
-    bool wasHandedOver = true; ///< false only when no byte of the request left this process
-    bool hasWritten = true;    ///< bytes of it went to a socket that had not been seen to close
-    bool isTimeout = false;    ///< the time ran out
+    Error error;                 ///< step "HTTP request" and the peer
+    bool mayHaveBeenSent = true; ///< false only when no byte of the request left this process
+    bool hasWritten = true;      ///< bytes of it went to a socket that had not been seen to close
+    bool isTimeout = false;      ///< the time ran out
 };
 
 /// Result of fetch().
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -17,7 +17,7 @@
 namespace Parsleytrail
 {
 
-constexpr int sweepsToIdle = 5; ///< sweeps in idleTimeout
+constexpr int sweepsPerIdleTimeout = 5; ///< sweeps in idleTimeout
 
 // [SECTION] Exchange
 
@@ -25,15 +25,15 @@
     evhtp_request_t *raw = nullptr; ///< null once libevhtp has freed it
     EventLoop *loop = nullptr;
     HttpRequest request;
-    int refusal = 0;           ///< status to refuse with once the request is read; 0: none
+    int refusalStatus = 0;     ///< status to refuse with once the request is read; 0: none
     std::string refusalText;   ///< reason for it
     std::size_t bodyBytes = 0; ///< received, also beyond the limit
     bool isHandled = false;    ///< the handler was called
     bool isBegun = false;
     bool isEnded = false;
-    std::function<void()> closed;
-    std::function<void()> drained;
-    evbuffer_cb_entry *outputWatch = nullptr; ///< owned by the output buffer
+    std::function<void()> disconnectHandler;
+    std::function<void()> drainedHandler;
+    evbuffer_cb_entry *outputCallback = nullptr; ///< owned by the output buffer
 
     /// libevhtp's own write hook is silent while a request is paused, so that the buffer itself is watched.
     void watchOutput()
@@ -41,18 +41,18 @@
         const auto onOutput = [](evbuffer *buffer, const evbuffer_cb_info *info, void *arg) {
             auto *self = static_cast<Private *>(arg);
             const bool isEmptied = info->n_deleted > 0 && evbuffer_get_length(buffer) == 0;
-            if (isEmptied && self->drained) {
-                self->loop->defer(self->drained);
+            if (isEmptied && self->drainedHandler) {
+                self->loop->defer(self->drainedHandler);
             }
         };
-        outputWatch = evbuffer_add_cb(output(), onOutput, this);
+        outputCallback = evbuffer_add_cb(output(), onOutput, this);
     }
 
     void unwatchOutput()
     {
-        if (outputWatch) {
-            evbuffer_remove_cb_entry(output(), outputWatch);
-            outputWatch = nullptr;
+        if (outputCallback) {
+            evbuffer_remove_cb_entry(output(), outputCallback);
+            outputCallback = nullptr;
         }
     }
 
@@ -66,8 +66,8 @@
     {
         unwatchOutput();
         isEnded = true;
-        drained = nullptr;
-        closed = nullptr;
+        drainedHandler = nullptr;
+        disconnectHandler = nullptr;
         evhtp_request_resume(raw);
     }
 
@@ -105,7 +105,7 @@
     return d->isBegun;
 }
 
-std::size_t Exchange::buffered() const
+std::size_t Exchange::unsentBytes() const
 {
     return isOpen() ? evbuffer_get_length(d->output()) : 0;
 }
@@ -161,19 +161,19 @@
     // libevhtp frees the connection when it sees the end of its socket; until then nothing more is sent.
     d->unwatchOutput();
     d->isEnded = true;
-    d->closed = nullptr;
+    d->disconnectHandler = nullptr;
     shutdown(bufferevent_getfd(evhtp_connection_get_bev(d->raw->conn)), SHUT_RDWR);
     evhtp_request_resume(d->raw);
 }
 
-void Exchange::onClosed(std::function<void()> handler)
+void Exchange::onDisconnected(std::function<void()> handler)
 {
-    d->closed = std::move(handler);
+    d->disconnectHandler = std::move(handler);
 }
 
 void Exchange::onDrained(std::function<void()> handler)
 {
-    d->drained = std::move(handler);
+    d->drainedHandler = std::move(handler);
 }
 
 // [SECTION] Connection hooks
@@ -183,9 +183,9 @@
 
 /// What is known of a connection.
 struct ConnectionState {
-    int sweeps = 0;          ///< since the last whole request
-    bool isLost = false;     ///< the caller closed it, or it broke
-    bool isOurClose = false; ///< closed on purpose: idle, or after an answer that ends it
+    int idleSweeps = 0;            ///< since the last whole request
+    bool isLost = false;           ///< the caller closed it, or it broke
+    bool isClosedByServer = false; ///< closed on purpose: idle, or after an answer that ends it
 };
 
 } // namespace
@@ -197,9 +197,9 @@
     RefusalBody refusalBody;
     evhtp_t *htp = nullptr;
     std::unordered_map<evhtp_request_t *, ExchangePtr> exchanges;
-    std::unordered_map<evhtp_connection_t *, evhtp_request_t *> current; ///< request being answered on a connection
-    std::map<evhtp_connection_t *, ConnectionState> connections;         ///< all open ones; libevhtp keeps no list
-    ConnectionState forgotten;                                           ///< see stateOf()
+    std::unordered_map<evhtp_connection_t *, evhtp_request_t *> activeRequests; ///< request being answered on a connection
+    std::map<evhtp_connection_t *, ConnectionState> connections;                ///< all open ones; libevhtp keeps no list
+    ConnectionState discardedState;                                             ///< see stateOf()
     std::unique_ptr<Timer> sweepTimer;
 
     /// libevhtp calls a request's end hook after its connection's: what is noted then goes nowhere, and must not bring the
@@ -207,7 +207,7 @@
     ConnectionState &stateOf(evhtp_connection_t *connection)
     {
         const auto it = connections.find(connection);
-        return it == connections.end() ? forgotten : it->second;
+        return it == connections.end() ? discardedState : it->second;
     }
 
     ExchangePtr find(evhtp_request_t *raw) const
@@ -222,15 +222,15 @@
     }
 
     /// The exchange ends without an answer: the caller has gone.
-    static void markGone(const ExchangePtr &exchange)
+    static void handleDisconnect(const ExchangePtr &exchange)
     {
         exchange->d->unwatchOutput();
         exchange->d->raw = nullptr;
-        const auto closed = std::move(exchange->d->closed);
-        exchange->d->closed = nullptr;
-        exchange->d->drained = nullptr;
-        if (closed && !exchange->d->isEnded) {
-            exchange->d->loop->defer(closed);
+        const auto disconnectHandler = std::move(exchange->d->disconnectHandler);
+        exchange->d->disconnectHandler = nullptr;
+        exchange->d->drainedHandler = nullptr;
+        if (disconnectHandler && !exchange->d->isEnded) {
+            exchange->d->loop->defer(disconnectHandler);
         }
     }
 
@@ -272,11 +272,11 @@
         headerBytes += header.name.size() + header.value.size() + 4;
     }
     if (headerBytes > server->limits.maxHeaderBytes) {
-        d.refusal = 431;
+        d.refusalStatus = 431;
         d.refusalText = "request headers over " + std::to_string(server->limits.maxHeaderBytes) + " bytes";
     }
     server->exchanges[raw] = exchange;
-    server->current[raw->conn] = raw;
+    server->activeRequests[raw->conn] = raw;
     return EVHTP_RES_OK;
 }
 
@@ -288,12 +288,12 @@
     if (exchange) {
         Exchange::Private &d = *exchange->d;
         d.bodyBytes += size;
-        if (d.bodyBytes > server->limits.maxBodyBytes && !d.refusal) {
-            d.refusal = 413;
+        if (d.bodyBytes > server->limits.maxBodyBytes && !d.refusalStatus) {
+            d.refusalStatus = 413;
             d.refusalText = "request body over " + std::to_string(server->limits.maxBodyBytes) + " bytes";
             d.request.body.clear();
         }
-        if (!d.refusal) {
+        if (!d.refusalStatus) {
             const std::size_t before = d.request.body.size();
             d.request.body.resize(before + size);
             evbuffer_copyout(bytes, d.request.body.data() + before, size);
@@ -312,14 +312,14 @@
         return;
     }
     exchange->d->isHandled = true;
-    server->stateOf(raw->conn).sweeps = 0;
+    server->stateOf(raw->conn).idleSweeps = 0;
     evhtp_request_pause(raw);
     // A paused connection is not read, so that a caller who hangs up would go unnoticed and its engines would run
     // on. Reading into the buffer goes on; libevhtp leaves it alone until the request is resumed.
     bufferevent_enable(evhtp_connection_get_bev(raw->conn), EV_READ);
-    if (exchange->d->refusal) {
-        exchange->reply(exchange->d->refusal, {{"Connection", "close"}, {"Content-Type", "application/problem+json"}, {"parsley-outcome", "not-run"}},
-                        server->refusalText(exchange->d->refusal, exchange->d->refusalText));
+    if (exchange->d->refusalStatus) {
+        exchange->reply(exchange->d->refusalStatus, {{"Connection", "close"}, {"Content-Type", "application/problem+json"}, {"parsley-outcome", "not-run"}},
+                        server->refusalText(exchange->d->refusalStatus, exchange->d->refusalText));
         return;
     }
     server->handler(exchange);
@@ -334,12 +334,12 @@
         server->exchanges.erase(it);
         const bool endsConnection = !(raw->flags & EVHTP_REQ_FLAG_KEEPALIVE);
         if (exchange->d->isEnded && endsConnection) {
-            server->stateOf(raw->conn).isOurClose = true;
+            server->stateOf(raw->conn).isClosedByServer = true;
         }
-        markGone(exchange);
+        handleDisconnect(exchange);
     }
-    if (const auto open = server->current.find(raw->conn); open != server->current.end() && open->second == raw) {
-        server->current.erase(open);
+    if (const auto open = server->activeRequests.find(raw->conn); open != server->activeRequests.end() && open->second == raw) {
+        server->activeRequests.erase(open);
     }
     return EVHTP_RES_OK;
 }
@@ -348,19 +348,19 @@
 void HttpServer::Private::refuseMalformed(evhtp_connection_t *connection) const
 {
     const std::string body = refusalText(400, "malformed HTTP request");
-    const std::string answer =
+    const std::string response =
         "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nparsley-outcome: not-run\r\nContent-Type: application/problem+json\r\nContent-Length: "
         + std::to_string(body.size()) + "\r\n\r\n" + body;
-    send(bufferevent_getfd(evhtp_connection_get_bev(connection)), answer.data(), answer.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    send(bufferevent_getfd(evhtp_connection_get_bev(connection)), response.data(), response.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
 }
 
 evhtp_res HttpServer::Private::onConnectionFini(evhtp_connection_t *connection, void *arg)
 {
     auto *server = static_cast<Private *>(arg);
     const ConnectionState state = server->stateOf(connection);
-    server->current.erase(connection);
+    server->activeRequests.erase(connection);
     server->connections.erase(connection);
-    const bool isMalformed = !state.isLost && !state.isOurClose && evhtp_connection_get_bev(connection);
+    const bool isMalformed = !state.isLost && !state.isClosedByServer && evhtp_connection_get_bev(connection);
     if (isMalformed) {
         server->refuseMalformed(connection);
     }
@@ -370,15 +370,15 @@
 void HttpServer::Private::onEvent(evhtp_connection_t *connection, short events, void *arg)
 {
     auto *server = static_cast<Private *>(arg);
-    const auto open = server->current.find(connection);
-    const ExchangePtr exchange = open == server->current.end() ? nullptr : server->find(open->second);
+    const auto open = server->activeRequests.find(connection);
+    const ExchangePtr exchange = open == server->activeRequests.end() ? nullptr : server->find(open->second);
     const bool isLost = events & (BEV_EVENT_EOF | BEV_EVENT_ERROR);
     server->stateOf(connection).isLost = isLost;
     if (!exchange || !exchange->d->isHandled || !isLost || exchange->d->isEnded || !exchange->d->raw) {
         return;
     }
     evhtp_request_t *raw = exchange->d->raw;
-    markGone(exchange);
+    handleDisconnect(exchange);
     // A paused connection is freed by libevhtp only when it is resumed.
     server->exchanges.erase(raw);
     evhtp_request_resume(raw);
@@ -406,12 +406,12 @@
 {
     std::vector<evhtp_connection_t *> idle;
     for (auto &[connection, state] : connections) {
-        const auto open = current.find(connection);
-        const ExchangePtr exchange = open == current.end() ? nullptr : find(open->second);
-        const bool isAnswering = exchange && exchange->d->isHandled && !exchange->d->isEnded;
-        state.sweeps = isAnswering ? 0 : state.sweeps + 1;
-        if (state.sweeps > sweepsToIdle) {
-            state.isOurClose = true;
+        const auto open = activeRequests.find(connection);
+        const ExchangePtr exchange = open == activeRequests.end() ? nullptr : find(open->second);
+        const bool isResponding = exchange && exchange->d->isHandled && !exchange->d->isEnded;
+        state.idleSweeps = isResponding ? 0 : state.idleSweeps + 1;
+        if (state.idleSweeps > sweepsPerIdleTimeout) {
+            state.isClosedByServer = true;
             idle.push_back(connection);
         }
     }
@@ -434,14 +434,14 @@
     d->sweepTimer = std::make_unique<Timer>(loop, [state = d.get()] {
         state->closeIdle();
     });
-    d->sweepTimer->startRepeating(limits.idleTimeout / sweepsToIdle);
+    d->sweepTimer->startRepeating(limits.idleTimeout / sweepsPerIdleTimeout);
 }
 
 HttpServer::~HttpServer()
 {
     for (auto &[raw, exchange] : d->exchanges) {
         exchange->d->unwatchOutput();
-        exchange->d->closed = nullptr;
+        exchange->d->disconnectHandler = nullptr;
         exchange->d->raw = nullptr;
     }
     if (d->htp->server) {
@@ -450,7 +450,7 @@
     const std::map<evhtp_connection_t *, ConnectionState> open = d->connections;
     d->exchanges.clear();
     for (const auto &[connection, state] : open) {
-        d->stateOf(connection).isOurClose = true;
+        d->stateOf(connection).isClosedByServer = true;
         evhtp_connection_free(connection);
     }
     evhtp_free(d->htp);
@@ -461,10 +461,10 @@
     if (evhtp_bind_socket(d->htp, address.host.c_str(), address.port, 1024) != 0) {
         return fail("listen for HTTP", address.toString(), evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
     }
-    sockaddr_in taken{};
-    socklen_t size = sizeof taken;
-    getsockname(evconnlistener_get_fd(d->htp->server), reinterpret_cast<sockaddr *>(&taken), &size);
-    return Address{address.host, ntohs(taken.sin_port)};
+    sockaddr_in bound{};
+    socklen_t size = sizeof bound;
+    getsockname(evconnlistener_get_fd(d->htp->server), reinterpret_cast<sockaddr *>(&bound), &size);
+    return Address{address.host, ntohs(bound.sin_port)};
 }
 
 // [SECTION] Query strings
@@ -480,13 +480,13 @@
     }
     evhttp_clear_headers(&fields);
     // evhttp drops parameters without "=", such as ?dry-run.
-    std::string_view rest = query;
-    while (!result && !rest.empty()) {
-        const std::size_t end = rest.find('&');
-        if (rest.substr(0, end) == name) {
+    std::string_view remaining = query;
+    while (!result && !remaining.empty()) {
+        const std::size_t end = remaining.find('&');
+        if (remaining.substr(0, end) == name) {
             result = "";
         }
-        rest = end == std::string_view::npos ? std::string_view() : rest.substr(end + 1);
+        remaining = end == std::string_view::npos ? std::string_view() : remaining.substr(end + 1);
     }
     return result;
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -50,7 +50,7 @@
     /// Breaks the connection, so that the caller sees that the answer is not whole.
     void abort();
     /// Called once if the caller goes away before the answer is complete.
-    void onClosed(std::function<void()> handler);
+    void onDisconnected(std::function<void()> handler);
     /// Called each time the caller has taken all bytes given so far.
     void onDrained(std::function<void()> handler);
     /// Whether the answer can still be sent.
@@ -58,7 +58,7 @@
     /// Whether reply() or beginStream() was called.
     bool isBegun() const;
     /// Bytes that the caller has not taken yet.
-    std::size_t buffered() const;
+    std::size_t unsentBytes() const;
 
 private:
     friend class HttpServer;
--- a/src/relay/relay_peers.cpp
+++ b/src/relay/relay_peers.cpp
@@ -14,7 +14,7 @@
 struct RelayPeers::Private {
     RelayContext &context;
     Handlers handlers;
-    std::unique_ptr<Datagrams> datagrams{};
+    std::unique_ptr<DatagramSocket> datagrams{};
     std::unique_ptr<Timer> tickTimer{};
     LoadExchange exchange{};
     PeersView others{};
@@ -53,7 +53,7 @@
         seeds.push_back(address.host);
     }
     d->exchange = makeLoadExchange(ownEntryRef(settings), incarnationNow(d->context.clock), std::move(seeds), d->context.clock.now());
-    d->datagrams = std::make_unique<Datagrams>(d->context.loop, relayWireVersion, [this](const Frame &frame, const Address &) {
+    d->datagrams = std::make_unique<DatagramSocket>(d->context.loop, relayWireVersion, [this](const Frame &frame, const Address &) {
         return d->handleDatagram(frame);
     });
     BOOST_LEAF_CHECK(d->datagrams->bind({settings.host, static_cast<std::uint16_t>(settings.peerPort)}));
@@ -96,15 +96,15 @@
     const TimePoint now = context.clock.now();
     switch (frame.message) {
     case EntryReport::messageId:
-        return decodeAnd<EntryReport>(frame, [&](const EntryReport &report) {
+        return decodeAndHandle<EntryReport>(frame, [&](const EntryReport &report) {
             send(handleReport(exchange, report, now));
         });
     case GroupSummary::messageId:
-        return decodeAnd<GroupSummary>(frame, [&](const GroupSummary &summary) {
+        return decodeAndHandle<GroupSummary>(frame, [&](const GroupSummary &summary) {
             send(handleSummary(exchange, summary, now));
         });
     case GroupDigest::messageId:
-        return decodeAnd<GroupDigest>(frame, [&](const GroupDigest &digest) {
+        return decodeAndHandle<GroupDigest>(frame, [&](const GroupDigest &digest) {
             send(handleDigest(exchange, digest, now));
             updatePeerState();
         });
--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -22,7 +22,7 @@
 struct Announcer::Private {
     SidecarContext &context;
     Store &store;
-    Datagrams &datagrams;
+    DatagramSocket &datagrams;
     std::vector<Address> seeds;
     std::function<void(Announcement &)> describe;
     Address self;
@@ -35,7 +35,7 @@
     Timer timer;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    Private(SidecarContext &sidecarContext, Store &sidecarStore, Datagrams &sidecarDatagrams, std::vector<Address> seedEntries,
+    Private(SidecarContext &sidecarContext, Store &sidecarStore, DatagramSocket &sidecarDatagrams, std::vector<Address> seedEntries,
             std::function<void(Announcement &)> describeSelf)
         : context(sidecarContext)
         , store(sidecarStore)
@@ -162,7 +162,7 @@
     }
 }
 
-Announcer::Announcer(SidecarContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe)
+Announcer::Announcer(SidecarContext &context, Store &store, DatagramSocket &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe)
     : d(std::make_unique<Private>(context, store, datagrams, std::move(seeds), std::move(describe)))
 {
 }
--- a/src/sidecar/announcer.h
+++ b/src/sidecar/announcer.h
@@ -17,7 +17,7 @@
 {
 public:
     /// `describe` fills in everything but identity, sequence and address.
-    Announcer(SidecarContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe);
+    Announcer(SidecarContext &context, Store &store, DatagramSocket &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe);
     ~Announcer();
 
     /// Starts announcing from this address.
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -131,7 +131,7 @@
         context.history.record("call-ended", {{"request", request.value}, {"failed", std::uint64_t{failure ? 1u : 0u}}});
     }
     if (failure) {
-        const Outcome outcome = call->hasHead ? Outcome::Run : failure->wasHandedOver ? Outcome::Unknown : Outcome::NotRun;
+        const Outcome outcome = call->hasHead ? Outcome::Run : failure->mayHaveBeenSent ? Outcome::Unknown : Outcome::NotRun;
         return fail(request, outcome, "call application", failure->error.toString());
     }
     recordTime(callTime, std::chrono::duration<double>(context.clock.now() - call->startedAt).count());
@@ -278,19 +278,19 @@
 {
     switch (frame.message) {
     case CallRequest::messageId:
-        return decodeAnd<CallRequest>(frame, [&](const CallRequest &message) {
+        return decodeAndHandle<CallRequest>(frame, [&](const CallRequest &message) {
             d->begin(link, message);
         });
     case CallBody::messageId:
-        return decodeAnd<CallBody>(frame, [&](const CallBody &message) {
+        return decodeAndHandle<CallBody>(frame, [&](const CallBody &message) {
             d->takeBody(message);
         });
     case CallCredit::messageId:
-        return decodeAnd<CallCredit>(frame, [&](const CallCredit &message) {
+        return decodeAndHandle<CallCredit>(frame, [&](const CallCredit &message) {
             d->credit(message);
         });
     case CallCancel::messageId:
-        return decodeAnd<CallCancel>(frame, [&](const CallCancel &message) {
+        return decodeAndHandle<CallCancel>(frame, [&](const CallCancel &message) {
             d->cancel(message.request);
         });
     default:
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -33,7 +33,7 @@
     std::unique_ptr<EngineClient> engine;
     std::unique_ptr<Stages> stages;
     std::unique_ptr<Calls> calls;
-    std::unique_ptr<Datagrams> datagrams;
+    std::unique_ptr<DatagramSocket> datagrams;
     std::unique_ptr<Announcer> announcer;
     std::unique_ptr<LinkServer> links;
     std::unique_ptr<OperatorServer> operators;
@@ -120,7 +120,7 @@
     engine = std::make_unique<EngineClient>(*context);
     stages = std::make_unique<Stages>(*context, *engine);
     calls = std::make_unique<Calls>(*context);
-    datagrams = std::make_unique<Datagrams>(loop, wireVersion, [this](const Frame &frame, const Address &) {
+    datagrams = std::make_unique<DatagramSocket>(loop, wireVersion, [this](const Frame &frame, const Address &) {
         return takeDatagram(frame);
     });
     announcer = std::make_unique<Announcer>(*context, *store, *datagrams, std::move(seeds), [this](Announcement &announcement) {
@@ -206,7 +206,7 @@
 
 bool Sidecar::Private::takeDatagram(const Frame &frame)
 {
-    return frame.message == EntryAnnouncement::messageId && decodeAnd<EntryAnnouncement>(frame, [this](const EntryAnnouncement &entry) {
+    return frame.message == EntryAnnouncement::messageId && decodeAndHandle<EntryAnnouncement>(frame, [this](const EntryAnnouncement &entry) {
                announcer->heardEntry(entry);
            });
 }
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -521,27 +521,27 @@
 {
     switch (frame.message) {
     case OpenStage::messageId:
-        return decodeAnd<OpenStage>(frame, [&](const OpenStage &message) {
+        return decodeAndHandle<OpenStage>(frame, [&](const OpenStage &message) {
             d->open(link, message);
         });
     case ActivationFrame::messageId:
-        return decodeAnd<ActivationFrame>(frame, [&](const ActivationFrame &message) {
+        return decodeAndHandle<ActivationFrame>(frame, [&](const ActivationFrame &message) {
             d->takeActivationFrame(message);
         });
     case TokenFrame::messageId:
-        return decodeAnd<TokenFrame>(frame, [&](const TokenFrame &message) {
+        return decodeAndHandle<TokenFrame>(frame, [&](const TokenFrame &message) {
             d->takeTokenFrame(message);
         });
     case ResumeFrom::messageId:
-        return decodeAnd<ResumeFrom>(frame, [&](const ResumeFrom &message) {
+        return decodeAndHandle<ResumeFrom>(frame, [&](const ResumeFrom &message) {
             d->takeResume(message);
         });
     case CloseStream::messageId:
-        return decodeAnd<CloseStream>(frame, [&](const CloseStream &message) {
+        return decodeAndHandle<CloseStream>(frame, [&](const CloseStream &message) {
             d->close(message);
         });
     case StageQuery::messageId:
-        return decodeAnd<StageQuery>(frame, [&](const StageQuery &message) {
+        return decodeAndHandle<StageQuery>(frame, [&](const StageQuery &message) {
             d->answerQuery(link, message);
         });
     default:
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -74,7 +74,7 @@
         logEvent(Event::StoreUnreachable,
                  {{"peer", platform.toString()}, {"reason", result.failure ? result.failure->error.text : std::to_string(result.status)}});
     }
-    const bool mayHaveRun = access == Access::Write && (!result.failure || result.failure->wasHandedOver) && result.status != 503;
+    const bool mayHaveRun = access == Access::Write && (!result.failure || result.failure->mayHaveBeenSent) && result.status != 503;
     return mayHaveRun ? StoreStatus::Unknown : StoreStatus::Unavailable;
 }
 
--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -53,7 +53,7 @@
         char *begin = const_cast<char *>(bytes.data());
         setg(begin, begin, begin + bytes.size());
     }
-    std::size_t left() const
+    std::size_t remainingBytes() const
     {
         return static_cast<std::size_t>(egptr() - gptr());
     }
@@ -80,7 +80,7 @@
     }
     void value(const std::string &text, std::size_t limit)
     {
-        size(text.size(), limit);
+        writeSize(text.size(), limit);
         m_archive(cereal::binary_data(text.data(), text.size()));
     }
     template<typename Tag>
@@ -101,12 +101,12 @@
     template<typename Rep>
     void numbers(const std::vector<Rep> &items, std::size_t limit)
     {
-        size(items.size(), limit);
+        writeSize(items.size(), limit);
         m_archive(cereal::binary_data(items.data(), items.size() * sizeof(Rep)));
     }
     void list(const std::vector<std::string> &items, std::size_t limit)
     {
-        size(items.size(), limit);
+        writeSize(items.size(), limit);
         for (const std::string &item : items) {
             value(item, maxListItemBytes);
         }
@@ -114,7 +114,7 @@
     template<typename Item>
     void list(const std::vector<Item> &items, std::size_t limit)
     {
-        size(items.size(), limit);
+        writeSize(items.size(), limit);
         for (const Item &item : items) {
             writeStruct(*this, item);
         }
@@ -122,17 +122,17 @@
     /// Whether all sizes were within the limits that a reader checks.
     bool isWhole() const
     {
-        return m_isWhole;
+        return m_isWithinLimits;
     }
 
 private:
-    void size(std::size_t count, std::size_t limit)
+    void writeSize(std::size_t count, std::size_t limit)
     {
-        m_isWhole = m_isWhole && count <= limit;
+        m_isWithinLimits = m_isWithinLimits && count <= limit;
         m_archive(static_cast<std::uint32_t>(count));
     }
 
-    bool m_isWhole = true;
+    bool m_isWithinLimits = true;
     StringOutput m_buffer;
     std::ostream m_stream;
     cereal::PortableBinaryOutputArchive m_archive;
@@ -164,7 +164,7 @@
     }
     void value(std::string &text, std::size_t limit)
     {
-        text.resize(size(limit, 1));
+        text.resize(readSize(limit, 1));
         m_archive(cereal::binary_data(text.data(), text.size()));
     }
     template<typename Tag>
@@ -188,12 +188,12 @@
     template<typename Rep>
     void numbers(std::vector<Rep> &items, std::size_t limit)
     {
-        items.resize(size(limit, sizeof(Rep)));
+        items.resize(readSize(limit, sizeof(Rep)));
         m_archive(cereal::binary_data(items.data(), items.size() * sizeof(Rep)));
     }
     void list(std::vector<std::string> &items, std::size_t limit)
     {
-        items.resize(size(limit, sizeof(std::uint32_t)));
+        items.resize(readSize(limit, sizeof(std::uint32_t)));
         for (std::string &item : items) {
             value(item, maxListItemBytes);
         }
@@ -202,7 +202,7 @@
     void list(std::vector<Item> &items, std::size_t limit)
     {
         // Every struct of the schema takes eight bytes or more.
-        items.resize(size(limit, 2 * sizeof(std::uint32_t)));
+        items.resize(readSize(limit, 2 * sizeof(std::uint32_t)));
         for (Item &item : items) {
             readStruct(*this, item);
         }
@@ -210,11 +210,11 @@
 
 private:
     /// Reads a size; refuses one over the limit or over what the bytes left can hold.
-    std::size_t size(std::size_t limit, std::size_t smallestItem)
+    std::size_t readSize(std::size_t limit, std::size_t minItemBytes)
     {
         std::uint32_t count = 0;
         m_archive(count);
-        require(count <= limit && count <= m_buffer.left() / smallestItem);
+        require(count <= limit && count <= m_buffer.remainingBytes() / minItemBytes);
         return count;
     }
     static void require(bool condition)
--- a/src/wire/daemon.cpp
+++ b/src/wire/daemon.cpp
@@ -16,7 +16,7 @@
 namespace Parsleytrail
 {
 
-enum DaemonStatus { DaemonStopped = 0, DaemonNotStarted = 1, DaemonWrongUsage = 2 };
+enum DaemonExitStatus { DaemonStopped = 0, DaemonStartFailed = 1, DaemonUsageError = 2 };
 
 static std::string settingsPath(const DaemonProgram &program)
 {
@@ -45,7 +45,7 @@
     }
     absl::ParseCommandLine(argc, argv);
     if (!readSettings(program)) {
-        return DaemonWrongUsage;
+        return DaemonUsageError;
     }
     if (absl::GetFlag(FLAGS_check)) {
         return DaemonStopped;
@@ -72,7 +72,7 @@
         std::cerr << error.toString() << '\n';
     }
     program.destroy();
-    return isStarted ? DaemonStopped : DaemonNotStarted;
+    return isStarted ? DaemonStopped : DaemonStartFailed;
 }
 
 } // namespace Parsleytrail
--- a/src/wire/datagrams.cpp
+++ b/src/wire/datagrams.cpp
@@ -16,7 +16,7 @@
 namespace Parsleytrail
 {
 
-struct Datagrams::Private {
+struct DatagramSocket::Private {
     EventLoop &loop;
     std::uint16_t wireVersion;
     Handler handler;
@@ -27,7 +27,7 @@
     std::uint64_t bytesSent = 0;
     std::uint64_t bytesReceived = 0;
 
-    void readAll()
+    void readPending()
     {
         std::array<unsigned char, frameHeaderBytes + maxDatagramBytes> buffer;
         while (true) {
@@ -38,28 +38,28 @@
                 return;
             }
             bytesReceived += static_cast<std::uint64_t>(size);
-            take(buffer.data(), static_cast<std::size_t>(size), from);
+            handleDatagram(buffer.data(), static_cast<std::size_t>(size), from);
         }
     }
 
-    void take(const unsigned char *bytes, std::size_t size, const sockaddr_in &from)
+    void handleDatagram(const unsigned char *bytes, std::size_t size, const sockaddr_in &from)
     {
         char host[INET_ADDRSTRLEN] = "";
         inet_ntop(AF_INET, &from.sin_addr, host, sizeof host);
         const Address sender{host, ntohs(from.sin_port)};
         FrameHeader header;
-        const bool isWhole = size >= frameHeaderBytes && readHeader(bytes, maxDatagramBytes, header) && size == frameHeaderBytes + header.bytes;
-        if (!isWhole) {
-            return noteDropped(Event::DatagramRefused, ++refused, sender, "header", 0);
+        const bool isComplete = size >= frameHeaderBytes && readHeader(bytes, maxDatagramBytes, header) && size == frameHeaderBytes + header.payloadBytes;
+        if (!isComplete) {
+            return logDropped(Event::DatagramRefused, ++refused, sender, "header", 0);
         }
         const auto *payload = reinterpret_cast<const char *>(bytes + frameHeaderBytes);
-        if (!handler({std::min(header.version, wireVersion), header.message, {payload, header.bytes}}, sender)) {
-            noteDropped(Event::DatagramRefused, ++refused, sender, "not understood", header.message);
+        if (!handler({std::min(header.version, wireVersion), header.message, {payload, header.payloadBytes}}, sender)) {
+            logDropped(Event::DatagramRefused, ++refused, sender, "not understood", header.message);
         }
     }
 
     /// Logs the first, second, fourth, ... of what may come without end.
-    static void noteDropped(Event event, std::uint64_t count, const Address &peer, const char *reason, std::uint16_t message)
+    static void logDropped(Event event, std::uint64_t count, const Address &peer, const char *reason, std::uint16_t message)
     {
         if (std::has_single_bit(count)) {
             logEvent(event, {{"peer", peer.toString()}, {"reason", reason}, {"message", std::to_string(message)}, {"count", std::to_string(count)}});
@@ -67,13 +67,13 @@
     }
 };
 
-Datagrams::Datagrams(EventLoop &loop, std::uint16_t wireVersion, Handler handler)
+DatagramSocket::DatagramSocket(EventLoop &loop, std::uint16_t wireVersion, Handler handler)
     : d(new Private{loop, wireVersion, std::move(handler)})
     , m_wireVersion(wireVersion)
 {
 }
 
-Datagrams::~Datagrams()
+DatagramSocket::~DatagramSocket()
 {
     if (d->readable) {
         event_free(d->readable);
@@ -83,55 +83,55 @@
     }
 }
 
-Result<void> Datagrams::bind(const Address &address)
+Result<void> DatagramSocket::bind(const Address &address)
 {
     d->socket = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    sockaddr_in wanted{};
-    wanted.sin_family = AF_INET;
-    wanted.sin_port = htons(address.port);
-    inet_pton(AF_INET, address.host.c_str(), &wanted.sin_addr);
-    if (d->socket < 0 || ::bind(d->socket, reinterpret_cast<const sockaddr *>(&wanted), sizeof wanted) != 0) {
+    sockaddr_in localAddress{};
+    localAddress.sin_family = AF_INET;
+    localAddress.sin_port = htons(address.port);
+    inet_pton(AF_INET, address.host.c_str(), &localAddress.sin_addr);
+    if (d->socket < 0 || ::bind(d->socket, reinterpret_cast<const sockaddr *>(&localAddress), sizeof localAddress) != 0) {
         return fail("bind datagrams", address.toString(), std::strerror(errno));
     }
     const auto onReadable = [](evutil_socket_t, short, void *arg) {
-        static_cast<Private *>(arg)->readAll();
+        static_cast<Private *>(arg)->readPending();
     };
     d->readable = event_new(d->loop.base(), d->socket, EV_READ | EV_PERSIST, onReadable, d.get());
     event_add(d->readable, nullptr);
     return {};
 }
 
-void Datagrams::sendBuffer(const Address &to)
+void DatagramSocket::sendBuffer(const Address &to)
 {
-    sockaddr_in target{};
-    target.sin_family = AF_INET;
-    target.sin_port = htons(to.port);
-    inet_pton(AF_INET, to.host.c_str(), &target.sin_addr);
+    sockaddr_in destination{};
+    destination.sin_family = AF_INET;
+    destination.sin_port = htons(to.port);
+    inet_pton(AF_INET, to.host.c_str(), &destination.sin_addr);
     d->bytesSent += m_buffer.size();
-    sendto(d->socket, m_buffer.data(), m_buffer.size(), MSG_DONTWAIT, reinterpret_cast<const sockaddr *>(&target), sizeof target);
+    sendto(d->socket, m_buffer.data(), m_buffer.size(), MSG_DONTWAIT, reinterpret_cast<const sockaddr *>(&destination), sizeof destination);
 }
 
-void Datagrams::noteUnsent(const Address &to, std::uint16_t message)
+void DatagramSocket::countUnsent(const Address &to, std::uint16_t message)
 {
-    Private::noteDropped(Event::FrameUnsent, ++d->unsent, to, "over a limit", message);
+    Private::logDropped(Event::FrameUnsent, ++d->unsent, to, "over a limit", message);
 }
 
-std::uint64_t Datagrams::unsent() const
+std::uint64_t DatagramSocket::unsent() const
 {
     return d->unsent;
 }
 
-std::uint64_t Datagrams::refused() const
+std::uint64_t DatagramSocket::refused() const
 {
     return d->refused;
 }
 
-std::uint64_t Datagrams::bytesSent() const
+std::uint64_t DatagramSocket::bytesSent() const
 {
     return d->bytesSent;
 }
 
-std::uint64_t Datagrams::bytesReceived() const
+std::uint64_t DatagramSocket::bytesReceived() const
 {
     return d->bytesReceived;
 }
--- a/src/wire/datagrams.h
+++ b/src/wire/datagrams.h
@@ -12,15 +12,15 @@
 {
 
 /// A bound UDP socket.
-class Datagrams
+class DatagramSocket
 {
 public:
     /// Returns whether the frame was understood; one that was not is counted and dropped.
     using Handler = std::function<bool(const Frame &, const Address &from)>;
 
     /// `wireVersion` is the newest version written and read. Malformed datagrams are counted and dropped.
-    Datagrams(EventLoop &loop, std::uint16_t wireVersion, Handler handler);
-    ~Datagrams();
+    DatagramSocket(EventLoop &loop, std::uint16_t wireVersion, Handler handler);
+    ~DatagramSocket();
 
     /// Binds. Fails with the step "bind datagrams".
     Result<void> bind(const Address &address);
@@ -32,7 +32,7 @@
         if (appendFrame(message, m_wireVersion, m_buffer) && m_buffer.size() <= frameHeaderBytes + maxDatagramBytes) {
             sendBuffer(to);
         } else {
-            noteUnsent(to, Message::messageId);
+            countUnsent(to, Message::messageId);
         }
     }
     /// Datagrams received and dropped: their header was wrong, or the handler did not understand them.
@@ -45,7 +45,7 @@
 
 private:
     void sendBuffer(const Address &to);
-    void noteUnsent(const Address &to, std::uint16_t message);
+    void countUnsent(const Address &to, std::uint16_t message);
 
     struct Private;
     std::unique_ptr<Private> d;
--- a/src/wire/event_loop.cpp
+++ b/src/wire/event_loop.cpp
@@ -24,7 +24,7 @@
 
 struct EventLoop::Private {
     event_base *base = nullptr;
-    event *wake = nullptr; ///< runs the deferred work
+    event *deferredEvent = nullptr; ///< runs the deferred work
     std::deque<std::function<void()>> deferred;
     std::deque<SignalHandler> signals; ///< deque: addresses stay good
 };
@@ -52,7 +52,7 @@
     const auto run = [](evutil_socket_t, short, void *arg) {
         runDeferred(static_cast<Private *>(arg)->deferred);
     };
-    d->wake = event_new(d->base, -1, 0, run, d.get());
+    d->deferredEvent = event_new(d->base, -1, 0, run, d.get());
 }
 
 EventLoop::~EventLoop()
@@ -64,7 +64,7 @@
     // A connection that is freed while its event waits for its turn is closed in that turn only. Without one its peer sees
     // it stay open and its memory is never freed; the events that a stopped loop left are all run by one turn.
     event_base_loop(d->base, EVLOOP_NONBLOCK);
-    event_free(d->wake);
+    event_free(d->deferredEvent);
     event_base_free(d->base);
 }
 
@@ -75,12 +75,12 @@
 
 bool EventLoop::runUntil(const std::function<bool()> &done, milliseconds limit)
 {
-    bool isLate = false;
+    bool isTimedOut = false;
     Timer deadline(*this, [&] {
-        isLate = true;
+        isTimedOut = true;
     });
     deadline.start(limit);
-    while (!done() && !isLate) {
+    while (!done() && !isTimedOut) {
         event_base_loop(d->base, EVLOOP_ONCE);
     }
     return done();
@@ -94,7 +94,7 @@
 void EventLoop::defer(std::function<void()> work)
 {
     d->deferred.push_back(std::move(work));
-    event_active(d->wake, EV_TIMEOUT, 0);
+    event_active(d->deferredEvent, EV_TIMEOUT, 0);
 }
 
 void EventLoop::onSignal(int signal, std::function<void()> handler)
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -20,8 +20,8 @@
 {
     header.version = readU16(bytes + 2);
     header.message = readU16(bytes + 4);
-    header.bytes = readU16(bytes + 8) | static_cast<std::uint32_t>(readU16(bytes + 10)) << 16;
-    return readU16(bytes) == frameMagic && header.version > 0 && header.bytes <= limit;
+    header.payloadBytes = readU16(bytes + 8) | static_cast<std::uint32_t>(readU16(bytes + 10)) << 16;
+    return readU16(bytes) == frameMagic && header.version > 0 && header.payloadBytes <= limit;
 }
 
 std::size_t beginFrame(std::string &out)
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -30,9 +30,9 @@
 
 /// Header fields as read.
 struct FrameHeader {
-    std::uint16_t version = 0; ///< writer's
-    std::uint16_t message = 0; ///< messageId
-    std::uint32_t bytes = 0;   ///< payload
+    std::uint16_t version = 0;      ///< writer's
+    std::uint16_t message = 0;      ///< messageId
+    std::uint32_t payloadBytes = 0; ///< payload
 };
 
 /// Reads a header. Returns false for a wrong magic, version 0, or a payload over `limit`.
@@ -63,14 +63,14 @@
 }
 
 /// Decodes a frame's payload as `Message` and hands it to `take`; false if it is malformed.
-template<typename Message, typename Take>
-bool decodeAnd(const Frame &frame, Take &&take)
+template<typename Message, typename Handle>
+bool decodeAndHandle(const Frame &frame, Handle &&handle)
 {
     Message message;
     if (!decodeFrame(frame, message)) {
         return false;
     }
-    take(message);
+    handle(message);
     return true;
 }
 
--- a/src/wire/link.cpp
+++ b/src/wire/link.cpp
@@ -21,7 +21,7 @@
     EventLoop *loop = nullptr;
     const LinkIdentity *identity = nullptr;
     const LinkHandlers *handlers = nullptr;
-    std::function<void(Link &)> onGone; ///< owner's book-keeping, before onClosed
+    std::function<void(Link &)> removeFromOwner; ///< owner's book-keeping, before onClosed
     Hello peer;
     bool hasPeer = false;
     std::string peerName;
@@ -31,7 +31,7 @@
     static void create(Link &link, EventLoop &loop, bufferevent *bev, const LinkIdentity &identity, const LinkHandlers &handlers, std::string peerName);
     static void fail(const LinkPtr &link, const std::string &step, const std::string &text);
     static void readFrames(const LinkPtr &link);
-    static bool takeFrame(const LinkPtr &link, const Frame &frame);
+    static bool handleFrame(const LinkPtr &link, const Frame &frame);
 };
 
 Link::Link()
@@ -52,8 +52,8 @@
     }
     bufferevent_free(d->bev);
     d->bev = nullptr;
-    if (d->onGone) {
-        d->onGone(*this);
+    if (d->removeFromOwner) {
+        d->removeFromOwner(*this);
     }
 }
 
@@ -72,7 +72,7 @@
     return d->peerName;
 }
 
-std::size_t Link::buffered() const
+std::size_t Link::unsentBytes() const
 {
     return d->bev ? evbuffer_get_length(bufferevent_get_output(d->bev)) : 0;
 }
@@ -88,7 +88,7 @@
     return d->sendBuffer;
 }
 
-void Link::noteUnsent(std::uint16_t message) const
+void Link::logUnsent(std::uint16_t message) const
 {
     logEvent(Event::FrameUnsent, {{"peer", d->peerName}, {"message", std::to_string(message)}, {"reason", "over a limit"}});
 }
@@ -99,7 +99,7 @@
         return;
     }
     bufferevent_write(d->bev, d->sendBuffer.data(), d->sendBuffer.size());
-    if (buffered() > maxLinkBufferBytes) {
+    if (unsentBytes() > maxLinkBufferBytes) {
         // A peer that stopped reading would make this process grow without bound; without the link its streams are
         // taken over by other stages, and the memory comes back.
         d->loop->defer([link = shared_from_this()] {
@@ -118,7 +118,7 @@
     handlers->onClosed(link, Error{step, link->d->peerName, text});
 }
 
-bool Link::Private::takeFrame(const LinkPtr &link, const Frame &frame)
+bool Link::Private::handleFrame(const LinkPtr &link, const Frame &frame)
 {
     Private &d = *link->d;
     if (d.hasPeer) {
@@ -148,19 +148,19 @@
             logEvent(Event::FrameRefused, {{"peer", d.peerName}, {"reason", "bad header"}});
             return fail(link, "read frame", "bad header");
         }
-        const std::size_t whole = frameHeaderBytes + header.bytes;
-        if (evbuffer_get_length(input) < whole) {
+        const std::size_t frameBytes = frameHeaderBytes + header.payloadBytes;
+        if (evbuffer_get_length(input) < frameBytes) {
             return;
         }
-        const auto *bytes = reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(whole)));
+        const auto *bytes = reinterpret_cast<const char *>(evbuffer_pullup(input, static_cast<ev_ssize_t>(frameBytes)));
         const std::uint16_t version = std::min(header.version, d.identity->wireVersion);
-        const bool isTaken = takeFrame(link, {version, header.message, {bytes + frameHeaderBytes, header.bytes}});
-        if (!isTaken) {
+        const bool isAccepted = handleFrame(link, {version, header.message, {bytes + frameHeaderBytes, header.payloadBytes}});
+        if (!isAccepted) {
             logEvent(Event::FrameRefused, {{"peer", d.peerName}, {"message", std::to_string(header.message)}});
             return fail(link, "read frame", "malformed or unexpected message " + std::to_string(header.message));
         }
         if (d.bev) {
-            evbuffer_drain(input, whole);
+            evbuffer_drain(input, frameBytes);
         }
     }
 }
@@ -209,7 +209,7 @@
     return result;
 }
 
-static std::string toName(const sockaddr *address)
+static std::string formatAddress(const sockaddr *address)
 {
     const auto *v4 = reinterpret_cast<const sockaddr_in *>(address);
     char text[INET_ADDRSTRLEN] = "";
@@ -232,10 +232,10 @@
         bufferevent *bev = bufferevent_socket_new(loop.base(), socket, BEV_OPT_CLOSE_ON_FREE);
         const LinkPtr link(new Link);
         links.insert(link);
-        link->d->onGone = [this](Link &gone) {
-            links.erase(gone.shared_from_this());
+        link->d->removeFromOwner = [this](Link &closed) {
+            links.erase(closed.shared_from_this());
         };
-        Link::Private::create(*link, loop, bev, identity, handlers, toName(from));
+        Link::Private::create(*link, loop, bev, identity, handlers, formatAddress(from));
     }
 };
 
@@ -257,19 +257,19 @@
 
 Result<Address> LinkServer::listen(const Address &address)
 {
-    const sockaddr_in wanted = toSockaddr(address);
+    const sockaddr_in localAddress = toSockaddr(address);
     const auto onAccept = [](evconnlistener *, evutil_socket_t socket, sockaddr *from, int, void *arg) {
         static_cast<Private *>(arg)->accept(socket, from);
     };
     d->listener = evconnlistener_new_bind(d->loop.base(), onAccept, d.get(), LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 1024,
-                                          reinterpret_cast<const sockaddr *>(&wanted), sizeof wanted);
+                                          reinterpret_cast<const sockaddr *>(&localAddress), sizeof localAddress);
     if (!d->listener) {
         return fail("listen for links", address.toString(), evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
     }
-    sockaddr_in taken{};
-    socklen_t size = sizeof taken;
-    getsockname(evconnlistener_get_fd(d->listener), reinterpret_cast<sockaddr *>(&taken), &size);
-    return Address{address.host, ntohs(taken.sin_port)};
+    sockaddr_in bound{};
+    socklen_t size = sizeof bound;
+    getsockname(evconnlistener_get_fd(d->listener), reinterpret_cast<sockaddr *>(&bound), &size);
+    return Address{address.host, ntohs(bound.sin_port)};
 }
 
 void LinkServer::forEach(const std::function<void(const LinkPtr &)> &visit) const
@@ -304,14 +304,14 @@
 
 LinkPtr LinkPool::link(const Address &address)
 {
-    if (const LinkPtr known = find(address)) {
-        return known;
+    if (const LinkPtr existing = find(address)) {
+        return existing;
     }
     const LinkPtr link(new Link);
     d->links[address] = link;
-    link->d->onGone = [this, address](Link &gone) {
+    link->d->removeFromOwner = [this, address](Link &closed) {
         const auto it = d->links.find(address);
-        if (it != d->links.end() && it->second.get() == &gone) {
+        if (it != d->links.end() && it->second.get() == &closed) {
             // Destroying the link inside its own callback would pull the ground from under the caller.
             d->loop.defer([keep = it->second] {});
             d->links.erase(it);
@@ -319,8 +319,8 @@
     };
     bufferevent *bev = bufferevent_socket_new(d->loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     Link::Private::create(*link, d->loop, bev, d->identity, d->handlers, address.toString());
-    const sockaddr_in wanted = toSockaddr(address);
-    if (bufferevent_socket_connect(bev, reinterpret_cast<const sockaddr *>(&wanted), sizeof wanted) == 0 && bufferevent_getfd(bev) >= 0) {
+    const sockaddr_in peerAddress = toSockaddr(address);
+    if (bufferevent_socket_connect(bev, reinterpret_cast<const sockaddr *>(&peerAddress), sizeof peerAddress) == 0 && bufferevent_getfd(bev) >= 0) {
         setNoDelay(bufferevent_getfd(bev));
     }
     return link;
--- a/src/wire/link.h
+++ b/src/wire/link.h
@@ -50,7 +50,7 @@
         if (appendFrame(message, wireVersion(), buffer)) {
             endSend();
         } else {
-            noteUnsent(Message::messageId);
+            logUnsent(Message::messageId);
         }
     }
     /// Closes without calling onClosed.
@@ -61,7 +61,7 @@
     /// Address of the peer, for errors.
     const std::string &peerName() const;
     /// Bytes waiting to be written.
-    std::size_t buffered() const;
+    std::size_t unsentBytes() const;
 
 private:
     friend class LinkServer;
@@ -70,7 +70,7 @@
     Link();
     std::string &beginSend();
     void endSend();
-    void noteUnsent(std::uint16_t message) const;
+    void logUnsent(std::uint16_t message) const;
     std::uint16_t wireVersion() const;
 
     std::unique_ptr<Private> d;
--- a/tests/fuzz_frames.cpp
+++ b/tests/fuzz_frames.cpp
@@ -6,19 +6,19 @@
 using namespace Parsleytrail;
 
 template<typename Message>
-static void tryDecode(std::string_view bytes, std::uint16_t version)
+static void checkRoundTrip(std::string_view bytes, std::uint16_t version)
 {
     Message message;
     if (!decode(bytes, version, message)) {
         return;
     }
     // What was decoded can be written and read again.
-    std::string again;
-    if (!encode(message, version, again)) {
+    std::string reencoded;
+    if (!encode(message, version, reencoded)) {
         __builtin_trap(); // a writer refuses what its reader takes
     }
-    Message back;
-    if (!decode(again, version, back)) {
+    Message decodedAgain;
+    if (!decode(reencoded, version, decodedAgain)) {
         __builtin_trap();
     }
 }
@@ -32,61 +32,61 @@
     const std::uint16_t version = 1 + data[1] % 2;
     switch (data[0] % 20) {
     case 0:
-        tryDecode<Hello>(bytes, version);
+        checkRoundTrip<Hello>(bytes, version);
         break;
     case 1:
-        tryDecode<OpenStage>(bytes, version);
+        checkRoundTrip<OpenStage>(bytes, version);
         break;
     case 2:
-        tryDecode<ActivationFrame>(bytes, version);
+        checkRoundTrip<ActivationFrame>(bytes, version);
         break;
     case 3:
-        tryDecode<TokenFrame>(bytes, version);
+        checkRoundTrip<TokenFrame>(bytes, version);
         break;
     case 4:
-        tryDecode<StageFailed>(bytes, version);
+        checkRoundTrip<StageFailed>(bytes, version);
         break;
     case 5:
-        tryDecode<CallRequest>(bytes, version);
+        checkRoundTrip<CallRequest>(bytes, version);
         break;
     case 6:
-        tryDecode<CallBody>(bytes, version);
+        checkRoundTrip<CallBody>(bytes, version);
         break;
     case 7:
-        tryDecode<CallHead>(bytes, version);
+        checkRoundTrip<CallHead>(bytes, version);
         break;
     case 8:
-        tryDecode<ConfigurationUpdate>(bytes, version);
+        checkRoundTrip<ConfigurationUpdate>(bytes, version);
         break;
     case 9:
-        tryDecode<Announcement>(bytes, version);
+        checkRoundTrip<Announcement>(bytes, version);
         break;
     case 10:
-        tryDecode<EntryAnnouncement>(bytes, version);
+        checkRoundTrip<EntryAnnouncement>(bytes, version);
         break;
     case 11:
-        tryDecode<SuspicionNotice>(bytes, version);
+        checkRoundTrip<SuspicionNotice>(bytes, version);
         break;
     case 12:
-        tryDecode<LoadReport>(bytes, version);
+        checkRoundTrip<LoadReport>(bytes, version);
         break;
     case 13:
-        tryDecode<EntryReport>(bytes, version);
+        checkRoundTrip<EntryReport>(bytes, version);
         break;
     case 14:
-        tryDecode<TableCopy>(bytes, version);
+        checkRoundTrip<TableCopy>(bytes, version);
         break;
     case 15:
-        tryDecode<GroupDigest>(bytes, version);
+        checkRoundTrip<GroupDigest>(bytes, version);
         break;
     case 16:
-        tryDecode<GroupSummary>(bytes, version);
+        checkRoundTrip<GroupSummary>(bytes, version);
         break;
     case 17:
-        tryDecode<TableWanted>(bytes, version);
+        checkRoundTrip<TableWanted>(bytes, version);
         break;
     default:
-        tryDecode<StageReport>(bytes, version);
+        checkRoundTrip<StageReport>(bytes, version);
         break;
     }
     return 0;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -21,7 +21,7 @@
 {
 
 /// Sends raw bytes and returns what came back until the server closed the connection or `enough` stands in it.
-std::string sendRaw(Cluster &cluster, const Address &address, const std::string &bytes, const std::string &enough)
+std::string sendRaw(Cluster &cluster, const Address &address, const std::string &bytes, const std::string &expectedText)
 {
     bufferevent *bev = bufferevent_socket_new(cluster.loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     bool isClosed = false;
@@ -46,7 +46,7 @@
         return text;
     };
     cluster.wait("an answer to raw bytes", [&] {
-        return isClosed || received().find(enough) != std::string::npos;
+        return isClosed || received().find(expectedText) != std::string::npos;
     });
     const std::string text = received();
     bufferevent_free(bev);
@@ -71,7 +71,7 @@
 }
 
 /// The system still answers a question.
-void checkAlive(Cluster &cluster)
+void checkStillServing(Cluster &cluster)
 {
     const AnswerPtr answer = cluster.ask("still there", 4);
     cluster.wait("an answer", [&] {
@@ -136,7 +136,7 @@
     const std::string answer = sendRaw(cluster, cluster.entries[0]->callerAddress(), bytes, "parsley-outcome\":");
     BOOST_TEST(answer.find("HTTP/1.1 400") == 0u);
     BOOST_TEST(answer.find("not-run") != std::string::npos);
-    checkAlive(cluster);
+    checkStillServing(cluster);
 }
 
 BOOST_AUTO_TEST_CASE(oversized_body_gets_413)
@@ -145,7 +145,7 @@
     const HttpResult result = cluster.send(post("/v1/chat/completions", std::string(3 << 20, 'x')));
     BOOST_TEST(result.status == 413);
     BOOST_TEST(findHeader(result.headers, "parsley-outcome") == "not-run");
-    checkAlive(cluster);
+    checkStillServing(cluster);
 }
 
 BOOST_AUTO_TEST_CASE(oversized_headers_get_431)
@@ -157,7 +157,7 @@
     }
     const HttpResult result = cluster.send(post("/v1/chat/completions", "{}", headers));
     BOOST_TEST(result.status == 431);
-    checkAlive(cluster);
+    checkStillServing(cluster);
 }
 
 BOOST_DATA_TEST_CASE(bad_fields_are_refused_by_name, boost::unit_test::data::make(badFields), field)
@@ -175,7 +175,7 @@
     }
 }
 
-BOOST_DATA_TEST_CASE(bodies_that_are_no_objects_are_refused,
+BOOST_DATA_TEST_CASE(bodies_that_are_not_objects_are_refused,
                      boost::unit_test::data::make({std::string(), std::string("{"), std::string("[]"), std::string("null"), std::string("\xff\xfe"),
                                                    std::string(200, '[')}),
                      body)
@@ -207,7 +207,7 @@
     BOOST_TEST(cluster.send(post("/services/chat/x", "{}")).status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(request_ids_come_back)
+BOOST_AUTO_TEST_CASE(request_ids_are_returned)
 {
     Cluster cluster;
     const HttpResult given = cluster.send(post("/v1/chat/completions", chatBody({}).dump(), {{"X-Request-Id", "mine-1"}}));
@@ -218,7 +218,7 @@
     BOOST_TEST(findHeader(unsafe.headers, "X-Request-Id").size() == 32u);
 }
 
-BOOST_AUTO_TEST_CASE(stream_ends_with_usage_if_asked)
+BOOST_AUTO_TEST_CASE(stream_ends_with_usage_if_requested)
 {
     Cluster cluster;
     const json body = chatBody({{"stream", true}, {"stream_options", {{"include_usage", true}}}});
@@ -259,7 +259,7 @@
     BOOST_TEST(answer.find("X-Request-Id: second") > first);
 }
 
-BOOST_AUTO_TEST_CASE(a_loop_that_is_stopped_in_its_turn_leaves_no_connection_open)
+BOOST_AUTO_TEST_CASE(a_loop_stopped_with_pending_events_closes_all_connections)
 {
     // A process is asked to end while several of its callers' connections have something to be read. The loop stops after
     // the first; the server is destroyed, and then the loop. Each caller sees its connection end, also where the process
@@ -288,14 +288,14 @@
     }
     for (const int socket : sockets) {
         char byte = 0;
-        const ssize_t taken = recv(socket, &byte, 1, MSG_DONTWAIT);
-        const bool isEnded = taken == 0 || (taken < 0 && errno == ECONNRESET);
+        const ssize_t receivedBytes = recv(socket, &byte, 1, MSG_DONTWAIT);
+        const bool isEnded = receivedBytes == 0 || (receivedBytes < 0 && errno == ECONNRESET);
         BOOST_TEST(isEnded);
         close(socket);
     }
 }
 
-BOOST_AUTO_TEST_CASE(operators_port_wants_its_credential)
+BOOST_AUTO_TEST_CASE(operator_port_requires_its_credential)
 {
     Cluster cluster;
     const Address address = cluster.entries[0]->operatorAddress();
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -126,7 +126,7 @@
     std::optional<StageReport> report;
     LinkHandlers handlers;
     handlers.onFrame = [&report](const LinkPtr &, const Frame &frame) {
-        return frame.message != StageReport::messageId || decodeAnd<StageReport>(frame, [&report](const StageReport &message) {
+        return frame.message != StageReport::messageId || decodeAndHandle<StageReport>(frame, [&report](const StageReport &message) {
                    report = message;
                });
     };
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -40,7 +40,7 @@
 /// Two ends of a link on one loop.
 struct LinkFixture {
     EventLoop loop;
-    int closed = 0;
+    int closedCount = 0;
     std::vector<std::uint16_t> received;
     LinkIdentity identity{{Role::Entry, "a", {1}}, currentWireVersion};
     LinkHandlers handlers;
@@ -54,7 +54,7 @@
             return frame.message == CloseStream::messageId;
         };
         handlers.onClosed = [this](const LinkPtr &, const Error &) {
-            ++closed;
+            ++closedCount;
         };
         server = std::make_unique<LinkServer>(loop, identity, handlers);
         auto listening = server->listen({"127.0.0.1", 0});
@@ -100,24 +100,24 @@
 
 BOOST_AUTO_TEST_SUITE(wire)
 
-BOOST_AUTO_TEST_CASE(messages_come_back_as_they_went)
+BOOST_AUTO_TEST_CASE(messages_round_trip)
 {
-    OpenStage back;
-    BOOST_REQUIRE(decode(encoded(exampleOpen(), currentWireVersion), currentWireVersion, back));
-    BOOST_TEST(back.request.value == "r1");
-    BOOST_TEST(back.stages.size() == 2u);
-    BOOST_TEST(back.stages[1].port == 81);
-    BOOST_TEST(back.tokens.size() == 3u);
-    BOOST_TEST(back.isSuspect);
+    OpenStage decoded;
+    BOOST_REQUIRE(decode(encoded(exampleOpen(), currentWireVersion), currentWireVersion, decoded));
+    BOOST_TEST(decoded.request.value == "r1");
+    BOOST_TEST(decoded.stages.size() == 2u);
+    BOOST_TEST(decoded.stages[1].port == 81);
+    BOOST_TEST(decoded.tokens.size() == 3u);
+    BOOST_TEST(decoded.isSuspect);
 }
 
-BOOST_AUTO_TEST_CASE(versions_read_each_other)
+BOOST_AUTO_TEST_CASE(wire_versions_interoperate)
 {
     // The field isSuspect came with version 2. An older writer leaves it at its default; an older reader does not see it.
-    OpenStage back;
-    BOOST_REQUIRE(decode(encoded(exampleOpen(), 1), 1, back));
-    BOOST_TEST(!back.isSuspect);
-    BOOST_TEST(back.maxTokens == 9u);
+    OpenStage decoded;
+    BOOST_REQUIRE(decode(encoded(exampleOpen(), 1), 1, decoded));
+    BOOST_TEST(!decoded.isSuspect);
+    BOOST_TEST(decoded.maxTokens == 9u);
     OpenStage older;
     BOOST_REQUIRE(decode(encoded(exampleOpen(), 2), 1, older));
     BOOST_TEST(!older.isSuspect);
@@ -140,12 +140,12 @@
     BOOST_TEST(!encode(report, currentWireVersion, bytes));
 }
 
-BOOST_AUTO_TEST_CASE(cut_messages_are_refused)
+BOOST_AUTO_TEST_CASE(truncated_messages_are_refused)
 {
-    const std::string whole = encoded(exampleOpen(), currentWireVersion);
-    for (std::size_t size = 0; size < whole.size(); ++size) {
-        OpenStage back;
-        BOOST_TEST(!decode(std::string_view(whole).substr(0, size), currentWireVersion, back));
+    const std::string complete = encoded(exampleOpen(), currentWireVersion);
+    for (std::size_t size = 0; size < complete.size(); ++size) {
+        OpenStage decoded;
+        BOOST_TEST(!decode(std::string_view(complete).substr(0, size), currentWireVersion, decoded));
     }
 }
 
@@ -179,7 +179,7 @@
     BOOST_TEST(!decode(bytes, currentWireVersion, frame));
 }
 
-BOOST_AUTO_TEST_CASE(strangers_and_malformed_frames_lose_their_link)
+BOOST_AUTO_TEST_CASE(unknown_peers_and_malformed_frames_are_disconnected)
 {
     LinkFixture fixture;
     BOOST_TEST(fixture.isRefused("GET / HTTP/1.1\r\nHost: x\r\n\r\n"));
@@ -188,34 +188,34 @@
     huge += framed(CloseStream{});
     huge[huge.size() - 1] = '\x7f';
     std::string overLimit = framed(Hello{Role::Sidecar, "b", {1}});
-    const std::size_t at = overLimit.size();
+    const std::size_t frameStart = overLimit.size();
     overLimit += framed(CloseStream{});
-    overLimit[at + 11] = '\x7f'; // payload of 2 GB
+    overLimit[frameStart + 11] = '\x7f'; // payload of 2 GB
     BOOST_TEST(fixture.isRefused(overLimit));
     BOOST_TEST(fixture.isRefused(framed(Hello{Role::Sidecar, "b", {1}}) + framed(CallCancel{}))); // a message that the handler refuses
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_never_speaks_is_given_up)
+BOOST_AUTO_TEST_CASE(a_peer_that_sends_no_hello_is_disconnected)
 {
     // Something accepts the connection and says nothing: without a limit its streams would wait for ever.
     LinkFixture fixture;
     EventLoop &loop = fixture.loop;
-    const int silent = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in any{};
-    any.sin_family = AF_INET;
-    inet_pton(AF_INET, "127.0.0.1", &any.sin_addr);
-    BOOST_REQUIRE(bind(silent, reinterpret_cast<sockaddr *>(&any), sizeof any) == 0);
-    BOOST_REQUIRE(listen(silent, 4) == 0);
-    socklen_t size = sizeof any;
-    getsockname(silent, reinterpret_cast<sockaddr *>(&any), &size);
+    const int unresponsive = socket(AF_INET, SOCK_STREAM, 0);
+    sockaddr_in listenAddress{};
+    listenAddress.sin_family = AF_INET;
+    inet_pton(AF_INET, "127.0.0.1", &listenAddress.sin_addr);
+    BOOST_REQUIRE(bind(unresponsive, reinterpret_cast<sockaddr *>(&listenAddress), sizeof listenAddress) == 0);
+    BOOST_REQUIRE(listen(unresponsive, 4) == 0);
+    socklen_t size = sizeof listenAddress;
+    getsockname(unresponsive, reinterpret_cast<sockaddr *>(&listenAddress), &size);
     LinkPool pool(loop, fixture.identity, fixture.handlers);
-    pool.link({"127.0.0.1", ntohs(any.sin_port)})->send(CloseStream{});
+    pool.link({"127.0.0.1", ntohs(listenAddress.sin_port)})->send(CloseStream{});
     BOOST_TEST(loop.runUntil(
         [&] {
-            return fixture.closed == 1;
+            return fixture.closedCount == 1;
         },
         milliseconds(20000)));
-    close(silent);
+    close(unresponsive);
 }
 
 BOOST_AUTO_TEST_CASE(links_carry_frames_in_order_after_hello)
@@ -236,12 +236,12 @@
 BOOST_AUTO_TEST_CASE(malformed_datagrams_are_counted_and_dropped)
 {
     EventLoop loop;
-    int taken = 0;
-    Datagrams receiver(loop, currentWireVersion, [&taken](const Frame &frame, const Address &) {
-        ++taken;
+    int handledCount = 0;
+    DatagramSocket receiver(loop, currentWireVersion, [&handledCount](const Frame &frame, const Address &) {
+        ++handledCount;
         return frame.message == LoadReport::messageId;
     });
-    Datagrams sender(loop, currentWireVersion, [](const Frame &, const Address &) {
+    DatagramSocket sender(loop, currentWireVersion, [](const Frame &, const Address &) {
         return false;
     });
     LinkFixture ports; // a free number
@@ -263,14 +263,14 @@
     sender.send(ports.address, LoadReport{});
     BOOST_TEST(loop.runUntil(
         [&] {
-            return taken == 1;
+            return handledCount == 1;
         },
         milliseconds(20000)));
     BOOST_TEST(receiver.refused() == 3u);
     sender.send(ports.address, CloseStream{});
     BOOST_TEST(loop.runUntil(
         [&] {
-            return taken == 2;
+            return handledCount == 2;
         },
         milliseconds(20000)));
     BOOST_TEST(receiver.refused() == 4u);
