--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -1,8 +1,8 @@
 // Bounded cereal archives for messages.
 //
-// cereal trusts the sizes it reads: a frame that says "4 billion elements" would make it allocate them. Reader
-// checks every size against the schema's limit and against the bytes that are left before it allocates, so memory
-// stays within a small multiple of the frame.
+// cereal allocates whatever size it reads: a malformed frame that claims 4 billion elements would exhaust memory.
+// Reader checks every size against the schema's limit and against the remaining bytes before it allocates, so that
+// memory use stays within a small multiple of the frame's size.
 #pragma once
 
 #include "base/ids.h"
@@ -44,7 +44,7 @@
     std::string &m_out;
 };
 
-/// Stream buffer over bytes that it does not own.
+/// Read-only stream buffer over bytes that it does not own.
 class StringInput final : public std::streambuf
 {
 public:
@@ -59,10 +59,10 @@
     }
 };
 
-constexpr std::size_t maxNameBytes = 256;      ///< ids and names in messages
-constexpr std::size_t maxListItemBytes = 1024; ///< strings in lists
+constexpr std::size_t maxNameBytes = 256;      ///< limit of each id and name in a message
+constexpr std::size_t maxListItemBytes = 1024; ///< limit of each string in a list
 
-/// Writes values of messages.
+/// Encodes the fields of a message.
 class Writer
 {
 public:
@@ -119,7 +119,7 @@
             writeStruct(*this, item);
         }
     }
-    /// Whether all sizes were within the limits that a reader checks.
+    /// Whether all sizes were within the limits that Reader checks, so that the message can be decoded.
     bool isWhole() const
     {
         return m_isWithinLimits;
@@ -138,7 +138,7 @@
     cereal::PortableBinaryOutputArchive m_archive;
 };
 
-/// Reads values of messages; throws cereal::Exception on anything malformed or over a limit.
+/// Decodes the fields of a message; throws cereal::Exception on malformed input and on sizes over a limit.
 class Reader
 {
 public:
@@ -156,7 +156,7 @@
     }
     void value(bool &flag)
     {
-        // A bool with another bit pattern than 0 or 1 would be undefined behaviour later.
+        // A bool whose bit pattern is neither 0 nor 1 is undefined behaviour when it is used.
         std::uint8_t raw = 0;
         m_archive(raw);
         require(raw <= 1);
@@ -201,7 +201,7 @@
     template<typename Item>
     void list(std::vector<Item> &items, std::size_t limit)
     {
-        // Every struct of the schema takes eight bytes or more.
+        // Every struct of the schema is encoded in at least 8 bytes.
         items.resize(readSize(limit, 2 * sizeof(std::uint32_t)));
         for (Item &item : items) {
             readStruct(*this, item);
@@ -209,7 +209,7 @@
     }
 
 private:
-    /// Reads a size; refuses one over the limit or over what the bytes left can hold.
+    /// Reads an element count; throws if it exceeds the limit or what the remaining bytes can hold.
     std::size_t readSize(std::size_t limit, std::size_t minItemBytes)
     {
         std::uint32_t count = 0;
@@ -229,7 +229,7 @@
     cereal::PortableBinaryInputArchive m_archive;
 };
 
-/// Runs `read`; false if the bytes were malformed.
+/// Runs `read` with a Reader over `bytes`. Returns false if the bytes are malformed or exceed a limit.
 template<typename Read>
 bool decodeGuarded(std::string_view bytes, Read &&read)
 {
--- a/src/wire/daemon.h
+++ b/src/wire/daemon.h
@@ -1,4 +1,4 @@
-// What the daemons' programs share: the command line, the settings file, signals, and the end.
+// The main function that all daemons share: command line, settings file, signals, shutdown.
 #pragma once
 
 #include "base/settings_file.h"
@@ -10,19 +10,19 @@
 namespace Parsleytrail
 {
 
-/// A program that runs until it is asked to stop.
+/// The parts of a daemon that differ between programs.
 struct DaemonProgram {
-    const char *helpText = "";                                                       ///< for --help
-    const char *sectionName = "";                                                    ///< only section of its settings file
-    const char *settingsVariable = "";                                               ///< environment variable with the file's path, if --settings is not given
-    std::function<void(const IniSection &, std::vector<IniProblem> &)> readSettings; ///< fills in the settings
-    std::function<std::string()> logLevel;                                           ///< of the settings
-    std::function<Result<void>(EventLoop &, const Clock &)> start;                   ///< makes and starts the process
-    std::function<void(std::function<void()>)> drain;                                ///< SIGTERM or SIGINT; calls back at the end
-    std::function<void()> destroy;                                                   ///< ends what start() made, before the loop goes
+    const char *helpText = "";         ///< printed for --help
+    const char *sectionName = "";      ///< the only section of the settings file
+    const char *settingsVariable = ""; ///< environment variable that holds the file's path, read if --settings is not given
+    std::function<void(const IniSection &, std::vector<IniProblem> &)> readSettings; ///< stores the section's values and appends its errors
+    std::function<std::string()> logLevel;                                           ///< log level from the settings
+    std::function<Result<void>(EventLoop &, const Clock &)> start;                   ///< creates the daemon's objects and starts them
+    std::function<void(std::function<void()>)> drain;                                ///< called on SIGTERM or SIGINT; calls its argument once drained
+    std::function<void()> destroy;                                                   ///< destroys what start() created, before the loop is destroyed
 };
 
-/// Runs the program. Returns its exit status: 0 stopped (or checked), 1 could not start, 2 wrong usage or settings.
+/// Runs the daemon. Returns its exit status: 0 stopped, --help or --check; 1 start failed; 2 settings missing or invalid.
 int runDaemon(int argc, char **argv, const DaemonProgram &program);
 
 } // namespace Parsleytrail
--- a/src/wire/datagrams.cpp
+++ b/src/wire/datagrams.cpp
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Logs the first, second, fourth, ... of what may come without end.
+    /// Logs only when `count` is a power of two, since the number of dropped datagrams is not bounded.
     static void logDropped(Event event, std::uint64_t count, const Address &peer, const char *reason, std::uint16_t message)
     {
         if (std::has_single_bit(count)) {
--- a/src/wire/datagrams.h
+++ b/src/wire/datagrams.h
@@ -1,4 +1,4 @@
-// UDP: announcements between processes of the system, one frame a datagram. They may be lost, doubled or reordered.
+// UDP transport between the processes of the system: one frame per datagram, which may be lost, duplicated or reordered.
 #pragma once
 
 #include "base/address.h"
@@ -11,20 +11,20 @@
 namespace Parsleytrail
 {
 
-/// A bound UDP socket.
+/// UDP socket that sends and receives frames.
 class DatagramSocket
 {
 public:
-    /// Returns whether the frame was understood; one that was not is counted and dropped.
+    /// Handles a received frame. Returns false if it is malformed or unexpected; such a frame is counted and dropped.
     using Handler = std::function<bool(const Frame &, const Address &from)>;
 
-    /// `wireVersion` is the newest version written and read. Malformed datagrams are counted and dropped.
+    /// `wireVersion` is the newest wire version to write and read. Datagrams with a malformed header are counted and dropped.
     DatagramSocket(EventLoop &loop, std::uint16_t wireVersion, Handler handler);
     ~DatagramSocket();
 
-    /// Binds. Fails with the step "bind datagrams".
+    /// Binds the socket and starts receiving. Fails with the step "bind datagrams".
     Result<void> bind(const Address &address);
-    /// Sends; a datagram that can't be sent at once is lost. One that no reader would take is counted and not sent.
+    /// Sends without blocking; a datagram that the socket can't accept at once is lost. A message over a limit is counted and not sent.
     template<typename Message>
     void send(const Address &to, const Message &message)
     {
@@ -35,11 +35,11 @@
             countUnsent(to, Message::messageId);
         }
     }
-    /// Datagrams received and dropped: their header was wrong, or the handler did not understand them.
+    /// Datagrams dropped on receipt because their header was malformed or the handler refused them.
     std::uint64_t refused() const;
-    /// Messages not sent because they were over a limit.
+    /// Messages that were not sent because they exceed a limit that the reader checks.
     std::uint64_t unsent() const;
-    /// Bytes of datagrams sent and received, without the headers of UDP and IP.
+    /// Bytes of datagrams sent and received, excluding the UDP and IP headers.
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
 
--- a/src/wire/event_loop.cpp
+++ b/src/wire/event_loop.cpp
@@ -18,20 +18,20 @@
 }
 
 struct SignalHandler {
-    event *handle = nullptr;       ///< owned
-    std::function<void()> handler; ///< called on the loop
+    event *handle = nullptr;       ///< owned signal event
+    std::function<void()> handler; ///< called from the loop
 };
 
 struct EventLoop::Private {
     event_base *base = nullptr;
-    event *deferredEvent = nullptr; ///< runs the deferred work
+    event *deferredEvent = nullptr; ///< owned; activated to run `deferred`
     std::deque<std::function<void()>> deferred;
-    std::deque<SignalHandler> signals; ///< deque: addresses stay good
+    std::deque<SignalHandler> signals; ///< a deque, since libevent holds the address of each element
 };
 
 static void runDeferred(std::deque<std::function<void()>> &queue)
 {
-    // Work that is deferred meanwhile waits for the next turn, so that sockets get theirs.
+    // Work that the batch defers runs in the next iteration of the loop, so that socket events are not starved.
     std::deque<std::function<void()>> batch;
     batch.swap(queue);
     for (auto &work : batch) {
@@ -42,9 +42,9 @@
 EventLoop::EventLoop()
     : d(std::make_unique<Private>())
 {
-    // A peer that closes while it is written to must give an error, not end the process.
+    // A write to a connection that the peer has closed must fail with EPIPE and not end the process by SIGPIPE.
     std::signal(SIGPIPE, SIG_IGN);
-    // Without this flag libevent reads the kernel's coarse clock, which ticks every 4 ms: a timer of 0.5 ms fired after 4.
+    // Without this flag libevent reads the kernel's coarse clock, which ticks every 4 ms: a timer of 0.5 ms would fire after 4 ms.
     event_config *config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
     d->base = event_base_new_with_config(config);
@@ -61,8 +61,9 @@
         event_free(signal.handle);
     }
     d->deferred.clear();
-    // A connection that is freed while its event waits for its turn is closed in that turn only. Without one its peer sees
-    // it stay open and its memory is never freed; the events that a stopped loop left are all run by one turn.
+    // libevent closes a connection that is freed while one of its events is active only when that event is processed. A
+    // stopped loop leaves such events pending; without this last iteration, which processes all of them, the peer would see
+    // the connection stay open and its memory would leak.
     event_base_loop(d->base, EVLOOP_NONBLOCK);
     event_free(d->deferredEvent);
     event_base_free(d->base);
@@ -128,7 +129,7 @@
         if (timer->isRepeating) {
             event_add(timer->handle, &timer->period);
         }
-        // A copy: the handler may destroy the timer.
+        // Calls a copy, since the handler may destroy the timer.
         const auto handler = timer->handler;
         handler();
     };
--- a/src/wire/event_loop.h
+++ b/src/wire/event_loop.h
@@ -1,6 +1,6 @@
-// The one loop of a process, and timers on it.
+// Event loop and timers, over libevent.
 //
-// Everything in a process runs on this loop's thread; nothing here is safe to call from another thread.
+// A process has one loop and runs everything on its thread; nothing here is safe to call from another thread.
 #pragma once
 
 #include "base/clock.h"
@@ -24,13 +24,13 @@
 
     /// Runs until stop().
     void run();
-    /// Runs callbacks until `done` returns true or `limit` has passed; returns done(). For tests and tools.
+    /// Runs callbacks until `done` returns true or `limit` has passed; returns the last result of `done`. For tests and tools.
     bool runUntil(const std::function<bool()> &done, milliseconds limit);
     /// Ends run() after the current callback.
     void stop();
-    /// Runs `work` once, soon, outside the current call stack.
+    /// Runs `work` once, from the loop, after the current callback has returned.
     void defer(std::function<void()> work);
-    /// Calls `handler` when the process gets the signal. Lasts as long as the loop.
+    /// Calls `handler` from the loop each time the process receives the signal, for as long as the loop exists.
     void onSignal(int signal, std::function<void()> handler);
     /// libevent's base, for modules that register their own events.
     event_base *base() const;
@@ -40,7 +40,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// Calls a function later, once or again and again. Destroying it cancels the call.
+/// One-shot or repeating timer. Destroying it cancels the pending call.
 class Timer
 {
 public:
@@ -49,9 +49,9 @@
     Timer(const Timer &) = delete;
     Timer &operator=(const Timer &) = delete;
 
-    /// Calls once after `delay`; replaces an earlier start.
+    /// Calls the handler once after `delay`; replaces an earlier start.
     void start(microseconds delay);
-    /// Calls every `period`.
+    /// Calls the handler every `period`.
     void startRepeating(microseconds period);
     void stop();
     bool isRunning() const;
--- a/src/wire/link.cpp
+++ b/src/wire/link.cpp
@@ -21,11 +21,11 @@
     EventLoop *loop = nullptr;
     const LinkIdentity *identity = nullptr;
     const LinkHandlers *handlers = nullptr;
-    std::function<void(Link &)> removeFromOwner; ///< owner's book-keeping, before onClosed
+    std::function<void(Link &)> removeFromOwner; ///< removes the link from its server or pool; called before onClosed
     Hello peer;
     bool hasPeer = false;
     std::string peerName;
-    std::string sendBuffer; ///< reused, so that sending allocates nothing once warm
+    std::string sendBuffer; ///< reused, so that sending doesn't allocate once the buffer has grown
     std::unique_ptr<Timer> helloTimer;
 
     static void create(Link &link, EventLoop &loop, bufferevent *bev, const LinkIdentity &identity, const LinkHandlers &handlers, std::string peerName);
@@ -100,8 +100,8 @@
     }
     bufferevent_write(d->bev, d->sendBuffer.data(), d->sendBuffer.size());
     if (unsentBytes() > maxLinkBufferBytes) {
-        // A peer that stopped reading would make this process grow without bound; without the link its streams are
-        // taken over by other stages, and the memory comes back.
+        // If the peer stops reading, the send buffer would grow without bound. Closing the link frees the buffer, and the
+        // peer's streams are taken over by other stages.
         d->loop->defer([link = shared_from_this()] {
             Private::fail(link, "send frame", "the peer reads too slowly");
         });
@@ -184,7 +184,8 @@
     };
     bufferevent_setcb(bev, onRead, nullptr, onEvent, &link);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
-    // A peer that accepts but never speaks (stopped, or no process of the system) would hold its streams for ever.
+    // A peer that accepts the connection but never sends Hello (a stopped process, or one of another system) would block
+    // its streams for ever.
     d.helloTimer = std::make_unique<Timer>(loop, [weak = link.weak_from_this()] {
         if (const LinkPtr strong = weak.lock()) {
             fail(strong, "connect", "no answer in time");
@@ -312,7 +313,7 @@
     link->d->removeFromOwner = [this, address](Link &closed) {
         const auto it = d->links.find(address);
         if (it != d->links.end() && it->second.get() == &closed) {
-            // Destroying the link inside its own callback would pull the ground from under the caller.
+            // The link may be inside one of its own callbacks, so its destruction is deferred.
             d->loop.defer([keep = it->second] {});
             d->links.erase(it);
         }
--- a/src/wire/link.h
+++ b/src/wire/link.h
@@ -1,10 +1,10 @@
-// Links: TCP connections that carry frames between processes of the system.
+// Links: TCP connections that carry frames between the processes of the system.
 //
 //     LinkServer server(loop, self, handlers);  server.listen({"127.0.0.1", 0});
 //     LinkPool pool(loop, self, handlers);      pool.link(address)->send(message);
 //
-// Both ends send Hello first; a link whose peer sends anything else first is closed. Handlers get the link as a
-// shared_ptr and may close it or let it go at any time.
+// Both ends send Hello first; a link whose peer sends anything else first is closed. Handlers receive the link as a
+// shared_ptr and may close or release it at any time, also from within a handler.
 #pragma once
 
 #include "base/address.h"
@@ -23,26 +23,26 @@
 class Link;
 using LinkPtr = std::shared_ptr<Link>;
 
-/// What this process says of itself, and its limits.
+/// What this process announces on its links, and the wire version it supports.
 struct LinkIdentity {
-    Hello hello;                                    ///< sent first on each link
-    std::uint16_t wireVersion = currentWireVersion; ///< newest version written and read
+    Hello hello;                                    ///< first message on each link
+    std::uint16_t wireVersion = currentWireVersion; ///< newest wire version to write and read
 };
 
-/// What a process does with its links.
+/// Callbacks for the links of a server or pool.
 struct LinkHandlers {
-    std::function<void(const LinkPtr &)> onReady;                 ///< the peer's Hello came; may be empty
-    std::function<bool(const LinkPtr &, const Frame &)> onFrame;  ///< false: the frame is malformed or unexpected; the link is closed
-    std::function<void(const LinkPtr &, const Error &)> onClosed; ///< once, whichever side closed it, unless this side called close()
+    std::function<void(const LinkPtr &)> onReady;                 ///< the peer's Hello was received; may be empty
+    std::function<bool(const LinkPtr &, const Frame &)> onFrame;  ///< returns false if the frame is malformed or unexpected; the link is then closed
+    std::function<void(const LinkPtr &, const Error &)> onClosed; ///< called once when the link is closed or fails, except through close()
 };
 
-/// One connection.
+/// A TCP connection that carries frames.
 class Link : public std::enable_shared_from_this<Link>
 {
 public:
     ~Link();
 
-    /// Sends a message; dropped if the link is closed, or, with a line in the log, if the message is over one of its limits.
+    /// Sends a message. Dropped if the link is closed; dropped and logged if the message exceeds one of its limits.
     template<typename Message>
     void send(const Message &message)
     {
@@ -56,11 +56,11 @@
     /// Closes without calling onClosed.
     void close();
     bool isOpen() const;
-    /// The peer's Hello; empty process until it came.
+    /// The peer's Hello; its `process` is empty until it is received.
     const Hello &peer() const;
-    /// Address of the peer, for errors.
+    /// Address of the peer, for logs and errors.
     const std::string &peerName() const;
-    /// Bytes waiting to be written.
+    /// Bytes that are buffered and not yet passed to the socket.
     std::size_t unsentBytes() const;
 
 private:
@@ -76,16 +76,16 @@
     std::unique_ptr<Private> d;
 };
 
-/// Accepts links.
+/// Accepts links on a listening socket.
 class LinkServer
 {
 public:
     LinkServer(EventLoop &loop, LinkIdentity identity, LinkHandlers handlers);
     ~LinkServer();
 
-    /// Listens; returns the address, with the port that was taken. Fails with the step "listen for links".
+    /// Listens; returns the address with the port that is bound. Fails with the step "listen for links".
     Result<Address> listen(const Address &address);
-    /// Calls for each open link.
+    /// Calls `visit` for each open link. `visit` may close links.
     void forEach(const std::function<void(const LinkPtr &)> &visit) const;
 
 private:
@@ -93,19 +93,19 @@
     std::unique_ptr<Private> d;
 };
 
-/// Makes links on demand, one for each address.
+/// Opens links on demand, one for each address.
 class LinkPool
 {
 public:
     LinkPool(EventLoop &loop, LinkIdentity identity, LinkHandlers handlers);
     ~LinkPool();
 
-    /// The link to an address, made if there is none. What is sent before it is connected waits in its buffer;
-    /// if it can't be connected within `connectTimeout`, onClosed is called.
+    /// The link to an address, opened if there is none. Messages sent before it is connected are buffered;
+    /// onClosed is called if the peer's Hello is not received within `connectTimeout`.
     LinkPtr link(const Address &address);
-    /// The link to an address, or null.
+    /// The existing link to an address, or null.
     LinkPtr find(const Address &address) const;
-    /// Number of links open.
+    /// Number of open links, including those that are still connecting.
     std::size_t size() const;
 
 private:
@@ -113,7 +113,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr milliseconds connectTimeout{1000};          ///< longest wait for a connection and the peer's Hello
-constexpr std::size_t maxLinkBufferBytes = 64u << 20; ///< a peer that reads more slowly than this loses the link
+constexpr milliseconds connectTimeout{1000};          ///< limit for connecting and receiving the peer's Hello
+constexpr std::size_t maxLinkBufferBytes = 64u << 20; ///< above this many unsent bytes the link is closed, since the peer reads too slowly
 
 } // namespace Parsleytrail
--- a/tests/fuzz_frames.cpp
+++ b/tests/fuzz_frames.cpp
@@ -1,4 +1,5 @@
-// libFuzzer: the decoders of all messages that a link or a datagram may carry.
+// libFuzzer target for the decoders of messages on links and in datagrams. The first byte selects the message type, the
+// second the wire version.
 #include "generated/messages.h"
 
 #include <cstddef>
@@ -12,10 +13,10 @@
     if (!decode(bytes, version, message)) {
         return;
     }
-    // What was decoded can be written and read again.
+    // A decoded message must be encodable, and its encoding decodable.
     std::string reencoded;
     if (!encode(message, version, reencoded)) {
-        __builtin_trap(); // a writer refuses what its reader takes
+        __builtin_trap(); // the encoder refuses a message that the decoder accepts
     }
     Message decodedAgain;
     if (!decode(reencoded, version, decodedAgain)) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Frames between processes: bounds, versions, and strangers.
+// Encoding of messages, and frames on links and in datagrams: limits, wire versions, malformed input, unknown peers.
 #include "generated/messages.h"
 #include "wire/datagrams.h"
 #include "wire/link.h"
@@ -37,7 +37,7 @@
     return bytes;
 }
 
-/// Two ends of a link on one loop.
+/// A link server that accepts only CloseStream, and the loop for both ends of its links.
 struct LinkFixture {
     EventLoop loop;
     int closedCount = 0;
@@ -62,7 +62,7 @@
         address = *listening;
     }
 
-    /// Connects without the protocol, sends bytes and returns whether the other end closed.
+    /// Connects a plain socket, sends `bytes` and returns whether the server closed the connection.
     bool isRefused(const std::string &bytes)
     {
         bufferevent *bev = bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
@@ -113,7 +113,7 @@
 
 BOOST_AUTO_TEST_CASE(wire_versions_interoperate)
 {
-    // The field isSuspect came with version 2. An older writer leaves it at its default; an older reader does not see it.
+    // Wire version 2 added the field isSuspect. It has its default if the writer or the reader uses version 1.
     OpenStage decoded;
     BOOST_REQUIRE(decode(encoded(exampleOpen(), 1), 1, decoded));
     BOOST_TEST(!decoded.isSuspect);
@@ -124,7 +124,7 @@
     BOOST_TEST(older.maxTokens == 9u);
 }
 
-/// Guards against messages that every reader drops without a word, once a list outgrows its limit.
+/// Guards against messages that are sent and then silently dropped by every reader because a list exceeds its limit.
 BOOST_AUTO_TEST_CASE(no_encoder_writes_what_its_reader_refuses)
 {
     EntryReport report;
@@ -168,7 +168,7 @@
 
 BOOST_AUTO_TEST_CASE(a_size_that_the_frame_can_not_hold_is_refused)
 {
-    // Four bytes say that four billion activations follow.
+    // The last four bytes are the number of activations, here set to 4 billion.
     ActivationFrame frame;
     frame.request.value = "r";
     std::string bytes;
@@ -183,7 +183,7 @@
 {
     LinkFixture fixture;
     BOOST_TEST(fixture.isRefused("GET / HTTP/1.1\r\nHost: x\r\n\r\n"));
-    BOOST_TEST(fixture.isRefused(framed(CloseStream{}))); // no Hello first
+    BOOST_TEST(fixture.isRefused(framed(CloseStream{}))); // no Hello before it
     std::string huge = framed(Hello{Role::Sidecar, "b", {1}});
     huge += framed(CloseStream{});
     huge[huge.size() - 1] = '\x7f';
@@ -197,7 +197,7 @@
 
 BOOST_AUTO_TEST_CASE(a_peer_that_sends_no_hello_is_disconnected)
 {
-    // Something accepts the connection and says nothing: without a limit its streams would wait for ever.
+    // The kernel accepts the connection, but no Hello is ever sent: without a timeout, streams to this peer would wait for ever.
     LinkFixture fixture;
     EventLoop &loop = fixture.loop;
     const int unresponsive = socket(AF_INET, SOCK_STREAM, 0);
@@ -244,7 +244,7 @@
     DatagramSocket sender(loop, currentWireVersion, [](const Frame &, const Address &) {
         return false;
     });
-    LinkFixture ports; // a free number
+    LinkFixture ports; // provides a free port number
     BOOST_REQUIRE(receiver.bind(ports.address));
     BOOST_REQUIRE(sender.bind({"127.0.0.1", 0}));
     const int raw = socket(AF_INET, SOCK_DGRAM, 0);
