--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -18,12 +18,12 @@
 
 // [SECTION] Connections
 
-/// A kept connection and what was written on it for the current request.
+/// A persistent connection and the state of its current request.
 struct HttpConnection {
     evhttp_connection *raw = nullptr; ///< owned
     Address address;                  ///< of the server
-    bool isFresh = true;              ///< never carried a request before the current one
-    bool hasWritten = false;          ///< a byte of the current request left this process
+    bool isFresh = true;              ///< the current request is the first on this connection
+    bool hasWritten = false;          ///< a byte of the current request was written to the socket
 
     ~HttpConnection()
     {
@@ -32,11 +32,11 @@
 };
 using HttpConnectionPtr = std::shared_ptr<HttpConnection>;
 
-constexpr std::size_t maxIdleConnections = 32; ///< kept for each address
+constexpr std::size_t maxIdleConnections = 32; ///< kept open for each address
 
 struct HttpCallState;
 
-/// What the client keeps between requests.
+/// State of the client: idle connections and requests in progress.
 struct HttpClientState : std::enable_shared_from_this<HttpClientState> {
     explicit HttpClientState(EventLoop &eventLoop)
         : loop(eventLoop)
@@ -45,7 +45,7 @@
 
     EventLoop &loop;
     std::map<Address, std::vector<HttpConnectionPtr>> idleConnections;
-    std::set<std::shared_ptr<HttpCallState>> calls; ///< on their way
+    std::set<std::shared_ptr<HttpCallState>> calls; ///< requests in progress
 
     HttpConnectionPtr acquireConnection(const Address &address, bool isFresh);
     void releaseConnection(const HttpConnectionPtr &connection);
@@ -104,7 +104,7 @@
     static void onComplete(evhttp_request *request, void *arg);
 };
 
-/// Gives the connection up; it can't be freed while evhttp still runs on its stack.
+/// Closes the connection. Freeing it is deferred, since evhttp may be on the call stack and still use it.
 void HttpCallState::discardConnection()
 {
     if (raw) {
@@ -128,7 +128,7 @@
     const auto done = std::move(handlers.onDone);
     handlers = {};
     client->calls.erase(self);
-    // The connection still refers to this object until it is freed or the request is over.
+    // evhttp holds a pointer to this object until the connection is freed or the request has ended.
     client->loop.defer([self] {});
     if (done) {
         done(failure);
@@ -139,7 +139,8 @@
 {
     HttpFailure failure;
     failure.error = {"HTTP request", connection->address.toString(), text};
-    // On a kept connection the bytes may sit in a socket that the server has just closed: nobody can tell.
+    // On a reused connection the bytes may sit in a socket that the server has just closed, so that it is unknown whether
+    // the server received them.
     failure.mayHaveBeenSent = !connection->isFresh || connection->hasWritten;
     failure.hasWritten = connection->hasWritten;
     failure.isTimeout = isTimeout;
@@ -181,7 +182,7 @@
         handlers.onData(bytes);
     }
     if (isPaused && connection) {
-        // evhttp turns reading on again when this callback returns.
+        // evhttp enables reading again after this callback returns, so that reading is disabled in a deferred call.
         client->loop.defer([self = shared_from_this()] {
             if (self->isPaused && self->connection) {
                 bufferevent_disable(evhttp_connection_get_bufferevent(self->connection->raw), EV_READ);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client over evhttp, with kept connections.
+// HTTP/1.1 client over libevent's evhttp, with persistent connections.
 //
 //     HttpClient client(loop);
 //     client.fetch(address, {"GET", "/health"}, [](const HttpResult &result) { ... });
@@ -15,31 +15,31 @@
 namespace Parsleytrail
 {
 
-/// A request to send.
+/// A request to send and its limits.
 struct HttpClientRequest {
-    std::string method = "GET";         ///< any of libevent's methods
-    std::string path = "/";             ///< with query
-    HttpHeaders headers;                ///< besides Host and Content-Length
-    std::string body;                   ///< whole
-    milliseconds timeout{5000};         ///< for the whole answer
-    bool useFreshConnection = false;    ///< see HttpFailure::wasHandedOver
-    std::size_t maxBodyBytes = 8 << 20; ///< longest answer taken
+    std::string method = "GET";         ///< GET, POST, HEAD, PUT, DELETE, OPTIONS or PATCH
+    std::string path = "/";             ///< including the query
+    HttpHeaders headers;                ///< in addition to Host and Content-Length
+    std::string body;                   ///< complete body
+    milliseconds timeout{5000};         ///< until the response is complete
+    bool useFreshConnection = false;    ///< see HttpFailure::mayHaveBeenSent
+    std::size_t maxBodyBytes = 8 << 20; ///< a longer response body fails the request
 };
 
-/// Why a request got no (whole) answer.
+/// Why a request received no response or an incomplete one.
 struct HttpFailure {
-    Error error;                 ///< step "HTTP request" and the peer
-    bool mayHaveBeenSent = true; ///< false only when no byte of the request left this process
-    bool hasWritten = true;      ///< bytes of it went to a socket that had not been seen to close
-    bool isTimeout = false;      ///< the time ran out
+    Error error;                 ///< step "HTTP request", the peer's address and the cause
+    bool mayHaveBeenSent = true; ///< false only if no byte of the request left this process; always true on a reused connection
+    bool hasWritten = true;      ///< bytes of the request were written to a socket that was not known to be closed
+    bool isTimeout = false;      ///< the request's timeout has passed
 };
 
 /// Result of fetch().
 struct HttpResult {
-    std::optional<HttpFailure> failure; ///< set: the rest is not valid
-    int status = 0;                     ///< of the answer
-    HttpHeaders headers;                ///< of the answer
-    std::string body;                   ///< of the answer
+    std::optional<HttpFailure> failure; ///< if set, the other fields are not valid
+    int status = 0;                     ///< HTTP status of the response
+    HttpHeaders headers;                ///< header fields of the response
+    std::string body;                   ///< complete body of the response
 
     bool isOk() const
     {
@@ -47,24 +47,24 @@
     }
 };
 
-/// Callbacks of a request whose answer is taken in parts.
+/// Callbacks of a request whose response is processed as it arrives.
 struct HttpStreamHandlers {
-    std::function<void(int status, const HttpHeaders &)> onHead;    ///< once
-    std::function<void(std::string_view)> onData;                   ///< for each part
-    std::function<void(const std::optional<HttpFailure> &)> onDone; ///< once, at the end
+    std::function<void(int status, const HttpHeaders &)> onHead;    ///< called once, with the status and the header fields
+    std::function<void(std::string_view)> onData;                   ///< called for each part of the body
+    std::function<void(const std::optional<HttpFailure> &)> onDone; ///< called once, at the end of the response or on failure
 };
 
 struct HttpCallState;
 struct HttpClientState;
 
-/// A request on its way. Letting it go does not cancel it.
+/// Handle of a request in progress. Releasing it does not cancel the request.
 class HttpCall
 {
 public:
     ~HttpCall();
-    /// Breaks the request's connection; no callback follows.
+    /// Closes the request's connection; no further callback is called.
     void cancel();
-    /// Stops and starts reading the answer.
+    /// Pauses or resumes reading the response.
     void pauseReading(bool isPaused);
 
 private:
@@ -74,7 +74,7 @@
 };
 using HttpCallPtr = std::shared_ptr<HttpCall>;
 
-/// Sends requests; keeps idle connections for each address.
+/// Sends requests; keeps idle connections open for each address.
 class HttpClient
 {
 public:
--- a/src/http/problem.h
+++ b/src/http/problem.h
@@ -1,4 +1,4 @@
-// Refusals: RFC 9457 problem documents that say whether the request was run.
+// Error responses: RFC 9457 problem documents that also state whether the request was executed.
 #pragma once
 
 #include "generated/messages.h"
@@ -9,22 +9,22 @@
 namespace Parsleytrail
 {
 
-/// A refusal.
+/// Content of an error response.
 struct Problem {
     int status = 500;                  ///< HTTP status
-    std::string title;                 ///< short and the same for all of its kind
-    std::string detail;                ///< what happened to this request
-    Outcome outcome = Outcome::NotRun; ///< what is known of its effects
-    int retryAfterSeconds = 0;         ///< 0: no Retry-After
+    std::string title;                 ///< short, the same for all problems of a kind; empty: the status's reason phrase
+    std::string detail;                ///< explanation for this request
+    Outcome outcome = Outcome::NotRun; ///< whether the request was executed
+    int retryAfterSeconds = 0;         ///< value of Retry-After; 0: no such header
 };
 
-/// "not-run", "unknown" or "run".
+/// Value of parsley-outcome: "not-run", "unknown" or "run".
 const char *outcomeText(Outcome outcome);
-/// The document.
+/// The problem document as JSON.
 std::string problemBody(const Problem &problem);
-/// Status, parsley-outcome, Retry-After and content type.
+/// Content-Type, parsley-outcome and Retry-After.
 HttpHeaders problemHeaders(const Problem &problem);
-/// Answers with the problem.
+/// Sends the problem as the complete response, with additional headers.
 void replyProblem(const ExchangePtr &exchange, const Problem &problem, HttpHeaders extra = {});
 
 } // namespace Parsleytrail
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -17,17 +17,17 @@
 namespace Parsleytrail
 {
 
-constexpr int sweepsPerIdleTimeout = 5; ///< sweeps in idleTimeout
+constexpr int sweepsPerIdleTimeout = 5; ///< how often idle connections are looked for within idleTimeout
 
 // [SECTION] Exchange
 
 struct Exchange::Private {
-    evhtp_request_t *raw = nullptr; ///< null once libevhtp has freed it
+    evhtp_request_t *raw = nullptr; ///< null once libevhtp has freed it or the caller has disconnected
     EventLoop *loop = nullptr;
     HttpRequest request;
-    int refusalStatus = 0;     ///< status to refuse with once the request is read; 0: none
-    std::string refusalText;   ///< reason for it
-    std::size_t bodyBytes = 0; ///< received, also beyond the limit
+    int refusalStatus = 0;     ///< status of the refusal, sent once the request is read; 0: not refused
+    std::string refusalText;   ///< reason of the refusal
+    std::size_t bodyBytes = 0; ///< body bytes received, including those over the limit
     bool isHandled = false;    ///< the handler was called
     bool isBegun = false;
     bool isEnded = false;
@@ -35,7 +35,7 @@
     std::function<void()> drainedHandler;
     evbuffer_cb_entry *outputCallback = nullptr; ///< owned by the output buffer
 
-    /// libevhtp's own write hook is silent while a request is paused, so that the buffer itself is watched.
+    /// Watches the output buffer itself, since libevhtp doesn't call its write hook while a request is paused.
     void watchOutput()
     {
         const auto onOutput = [](evbuffer *buffer, const evbuffer_cb_info *info, void *arg) {
@@ -61,7 +61,7 @@
         return bufferevent_get_output(evhtp_connection_get_bev(raw->conn));
     }
 
-    /// Lets libevhtp go on with the connection's next request.
+    /// Ends the response and lets libevhtp continue with the connection's next request.
     void finish()
     {
         unwatchOutput();
@@ -74,7 +74,7 @@
     void addHeaders(const HttpHeaders &headers)
     {
         for (const HttpHeader &header : headers) {
-            // A line break inside a value would let it forge further headers.
+            // Skips a field with a line break (or a colon or space in its name): it would inject further header fields.
             const bool isClean = header.value.find_first_of("\r\n") == std::string::npos && header.name.find_first_of("\r\n: ") == std::string::npos;
             if (isClean) {
                 evhtp_headers_add_header(raw->headers_out, evhtp_header_new(header.name.c_str(), header.value.c_str(), 1, 1));
@@ -158,7 +158,7 @@
     if (!isOpen()) {
         return;
     }
-    // libevhtp frees the connection when it sees the end of its socket; until then nothing more is sent.
+    // libevhtp frees the connection when it reads the end of the socket; until then nothing more is sent.
     d->unwatchOutput();
     d->isEnded = true;
     d->disconnectHandler = nullptr;
@@ -181,11 +181,11 @@
 namespace
 {
 
-/// What is known of a connection.
+/// State of a caller's connection.
 struct ConnectionState {
-    int idleSweeps = 0;            ///< since the last whole request
-    bool isLost = false;           ///< the caller closed it, or it broke
-    bool isClosedByServer = false; ///< closed on purpose: idle, or after an answer that ends it
+    int idleSweeps = 0;            ///< sweeps since the last complete request
+    bool isLost = false;           ///< closed by the caller, or failed
+    bool isClosedByServer = false; ///< closed on purpose: idle, after a response that ends it, or at shutdown
 };
 
 } // namespace
@@ -197,13 +197,13 @@
     RefusalBody refusalBody;
     evhtp_t *htp = nullptr;
     std::unordered_map<evhtp_request_t *, ExchangePtr> exchanges;
-    std::unordered_map<evhtp_connection_t *, evhtp_request_t *> activeRequests; ///< request being answered on a connection
-    std::map<evhtp_connection_t *, ConnectionState> connections;                ///< all open ones; libevhtp keeps no list
-    ConnectionState discardedState;                                             ///< see stateOf()
+    std::unordered_map<evhtp_connection_t *, evhtp_request_t *> activeRequests; ///< current request of each connection
+    std::map<evhtp_connection_t *, ConnectionState> connections;                ///< all open connections; libevhtp keeps no list of them
+    ConnectionState discardedState;                                             ///< written to for connections that are already closed, see stateOf()
     std::unique_ptr<Timer> sweepTimer;
 
-    /// libevhtp calls a request's end hook after its connection's: what is noted then goes nowhere, and must not bring the
-    /// freed connection back into the list, from where it would be freed a second time at the end of the process.
+    /// libevhtp calls the end hook of a request after that of its connection. What it writes then goes to a discarded state:
+    /// adding the connection, which is freed already, to `connections` again would free it twice at shutdown.
     ConnectionState &stateOf(evhtp_connection_t *connection)
     {
         const auto it = connections.find(connection);
@@ -221,7 +221,8 @@
         return refusalBody ? refusalBody(status, text) : text + "\n";
     }
 
-    /// The exchange ends without an answer: the caller has gone.
+    /// Detaches the exchange when its caller disconnects or libevhtp frees its request; calls the disconnect handler if the
+    /// response is incomplete.
     static void handleDisconnect(const ExchangePtr &exchange)
     {
         exchange->d->unwatchOutput();
@@ -314,8 +315,9 @@
     exchange->d->isHandled = true;
     server->stateOf(raw->conn).idleSweeps = 0;
     evhtp_request_pause(raw);
-    // A paused connection is not read, so that a caller who hangs up would go unnoticed and its engines would run
-    // on. Reading into the buffer goes on; libevhtp leaves it alone until the request is resumed.
+    // libevhtp stops reading from a paused connection, so that a disconnected caller would not be noticed and the engines
+    // would continue to work for it. Reading into the input buffer is enabled again; libevhtp doesn't process the buffer
+    // until the request is resumed.
     bufferevent_enable(evhtp_connection_get_bev(raw->conn), EV_READ);
     if (exchange->d->refusalStatus) {
         exchange->reply(exchange->d->refusalStatus, {{"Connection", "close"}, {"Content-Type", "application/problem+json"}, {"parsley-outcome", "not-run"}},
@@ -344,7 +346,7 @@
     return EVHTP_RES_OK;
 }
 
-/// libevhtp closes the connection of a malformed request without a word; the caller would only see it break.
+/// Sends 400, since libevhtp closes the connection of a malformed request without a response.
 void HttpServer::Private::refuseMalformed(evhtp_connection_t *connection) const
 {
     const std::string body = refusalText(400, "malformed HTTP request");
@@ -379,7 +381,7 @@
     }
     evhtp_request_t *raw = exchange->d->raw;
     handleDisconnect(exchange);
-    // A paused connection is freed by libevhtp only when it is resumed.
+    // libevhtp frees a paused connection only when its request is resumed.
     server->exchanges.erase(raw);
     evhtp_request_resume(raw);
 }
@@ -390,7 +392,7 @@
     const int on = 1;
     setsockopt(connection->sock, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     const auto hook = [&](evhtp_hook_type type, auto function) {
-        // libevhtp takes all hooks as one type and casts them back by `type`.
+        // libevhtp stores all hooks as one function type and casts them back according to `type`.
         evhtp_connection_set_hook(connection, type, reinterpret_cast<evhtp_hook>(reinterpret_cast<void *>(function)), arg);
     };
     hook(evhtp_hook_on_headers, onHeaders);
@@ -401,7 +403,8 @@
     return EVHTP_RES_OK;
 }
 
-/// A caller that sends half a request, or none, would otherwise hold its connection and this process's memory for ever.
+/// Closes connections without a complete request: a caller that sends none, or part of one, would otherwise keep its
+/// connection and the memory for it for ever.
 void HttpServer::Private::closeIdle()
 {
     std::vector<evhtp_connection_t *> idle;
@@ -426,8 +429,8 @@
     : d(new Private{loop, limits, std::move(handler), std::move(refusalBody), nullptr, {}, {}, {}, {}, nullptr})
 {
     d->htp = evhtp_new(loop.base(), nullptr);
-    // Far over the limit the connection is cut; up to there the body is read and dropped, so that the caller,
-    // which may still be writing, gets to read the refusal.
+    // A body of up to 16 times the limit is read and discarded, so that the caller, which may still be writing, can read the
+    // refusal; beyond that libevhtp closes the connection.
     evhtp_set_max_body_size(d->htp, d->limits.maxBodyBytes * 16);
     evhtp_set_post_accept_cb(d->htp, Private::onAccept, d.get());
     evhtp_set_gencb(d->htp, Private::onRequest, d.get());
@@ -479,7 +482,7 @@
         }
     }
     evhttp_clear_headers(&fields);
-    // evhttp drops parameters without "=", such as ?dry-run.
+    // evhttp ignores parameters without "=", such as ?dry-run.
     std::string_view remaining = query;
     while (!result && !remaining.empty()) {
         const std::size_t end = remaining.find('&');
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -3,8 +3,8 @@
 //     HttpServer server(loop, limits, [](const ExchangePtr &exchange) { exchange->reply(200, {}, "hello"); });
 //     server.listen({"127.0.0.1", 0});
 //
-// The handler is called when the whole request is there. It may answer at once or keep the exchange and answer
-// later, whole with reply() or in parts with beginStream(), pushChunk(), endStream().
+// The handler is called once the complete request is received. It may respond at once, or keep the exchange and respond
+// later: with one reply(), or in chunks with beginStream(), pushChunk() and endStream().
 #pragma once
 
 #include "base/address.h"
@@ -18,46 +18,46 @@
 namespace Parsleytrail
 {
 
-/// Limits on what callers send.
+/// Limits on requests and idle connections.
 struct HttpLimits {
-    std::size_t maxHeaderBytes = 16384; ///< all fields together; over it: 431
-    std::size_t maxBodyBytes = 1 << 20; ///< over it: 413
-    milliseconds idleTimeout{75000};    ///< a connection without a whole request for this long is closed
+    std::size_t maxHeaderBytes = 16384; ///< all header fields together; a larger header is refused with 431
+    std::size_t maxBodyBytes = 1 << 20; ///< a larger body is refused with 413
+    milliseconds idleTimeout{75000};    ///< a connection that completes no request for this long is closed
 };
 
 /// A received request.
 struct HttpRequest {
-    std::string method;  ///< e.g. GET
-    std::string path;    ///< without query, as sent
-    std::string query;   ///< after the question mark, as sent
-    HttpHeaders headers; ///< as sent
-    std::string body;    ///< whole
+    std::string method;  ///< for example GET
+    std::string path;    ///< without the query, not decoded
+    std::string query;   ///< after the question mark, not decoded
+    HttpHeaders headers; ///< names and values as sent
+    std::string body;    ///< complete body
 };
 
-/// One request and its answer.
+/// A request and its response.
 class Exchange
 {
 public:
     ~Exchange();
 
     const HttpRequest &request() const;
-    /// Sends a whole answer. Does nothing if the caller is gone or the answer was begun.
+    /// Sends a complete response. Does nothing if the caller has disconnected or a response was started.
     void reply(int status, const HttpHeaders &headers, std::string_view body);
-    /// Begins an answer in parts.
+    /// Starts a chunked response. Does nothing if the caller has disconnected or a response was started.
     void beginStream(int status, const HttpHeaders &headers);
     void pushChunk(std::string_view bytes);
     void endStream();
-    /// Breaks the connection, so that the caller sees that the answer is not whole.
+    /// Closes the connection, so that the caller sees that the response is incomplete.
     void abort();
-    /// Called once if the caller goes away before the answer is complete.
+    /// Sets the handler that is called once if the caller disconnects before the response is complete.
     void onDisconnected(std::function<void()> handler);
-    /// Called each time the caller has taken all bytes given so far.
+    /// Sets the handler that is called each time all buffered bytes of a chunked response have been passed to the socket.
     void onDrained(std::function<void()> handler);
-    /// Whether the answer can still be sent.
+    /// Whether the caller is connected and the response is not complete.
     bool isOpen() const;
     /// Whether reply() or beginStream() was called.
     bool isBegun() const;
-    /// Bytes that the caller has not taken yet.
+    /// Bytes of the response that are buffered and not yet passed to the socket.
     std::size_t unsentBytes() const;
 
 private:
@@ -68,18 +68,18 @@
 };
 using ExchangePtr = std::shared_ptr<Exchange>;
 
-/// Listens and parses requests.
+/// Accepts connections and parses requests.
 class HttpServer
 {
 public:
     using Handler = std::function<void(const ExchangePtr &)>;
-    /// Makes the answer's body for a request refused before it was whole (400, 413, 431).
+    /// Creates the response body for a request that the server itself refuses (400, 413, 431).
     using RefusalBody = std::function<std::string(int status, const std::string &text)>;
 
     HttpServer(EventLoop &loop, HttpLimits limits, Handler handler, RefusalBody refusalBody = {});
     ~HttpServer();
 
-    /// Listens; returns the address, with the port that was taken. Fails with the step "listen for HTTP".
+    /// Listens; returns the address with the port that is bound. Fails with the step "listen for HTTP".
     Result<Address> listen(const Address &address);
 
 private:
@@ -87,7 +87,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// Value of a parameter of a query string, decoded; nothing if it is missing.
+/// Decoded value of a parameter of a query string, empty for one without "="; std::nullopt if it is missing.
 std::optional<std::string> queryParameter(std::string_view query, std::string_view name);
 
 } // namespace Parsleytrail
--- a/src/http/types.h
+++ b/src/http/types.h
@@ -1,4 +1,4 @@
-// What HTTP server and client share.
+// Header fields and status codes, shared by the HTTP server and client.
 #pragma once
 
 #include <string>
@@ -10,16 +10,16 @@
 
 /// One header field.
 struct HttpHeader {
-    std::string name;  ///< as sent
-    std::string value; ///< as sent
+    std::string name;  ///< as on the wire
+    std::string value; ///< as on the wire
 };
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// Value of the first field of that name (any case), or empty.
+/// Value of the first field of that name, ignoring case; empty if there is none.
 std::string findHeader(const HttpHeaders &headers, std::string_view name);
-/// Whether the field belongs to one connection only (RFC 9110 section 7.6.1) and is not passed on.
+/// Whether the field applies to a single connection (RFC 9110 section 7.6.1) and must not be forwarded.
 bool isHopByHop(std::string_view name);
-/// Standard text of a status; "Status" if unknown.
+/// Standard reason phrase of a status; "Status" if it is not in the list.
 const char *reasonPhrase(int status);
 
 } // namespace Parsleytrail
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// What callers may send by mistake or on purpose: each gets a clear answer, and nothing else is disturbed.
+// HTTP ports of an entry: malformed, oversized and unauthorized requests get a defined response and affect no other request.
 #include "http/server.h"
 #include "tests/cluster.h"
 
@@ -20,7 +20,7 @@
 namespace
 {
 
-/// Sends raw bytes and returns what came back until the server closed the connection or `enough` stands in it.
+/// Sends raw bytes and returns what is received until it contains `expectedText` or the server closes the connection.
 std::string sendRaw(Cluster &cluster, const Address &address, const std::string &bytes, const std::string &expectedText)
 {
     bufferevent *bev = bufferevent_socket_new(cluster.loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
@@ -53,7 +53,7 @@
     return text;
 }
 
-/// A blocking connection.
+/// Opens a blocking connection.
 int connectTo(const Address &address)
 {
     const int result = socket(AF_INET, SOCK_STREAM, 0);
@@ -70,7 +70,7 @@
     BOOST_REQUIRE(send(socket, text.data(), text.size(), 0) == static_cast<ssize_t>(text.size()));
 }
 
-/// The system still answers a question.
+/// Checks that the cluster still completes a request.
 void checkStillServing(Cluster &cluster)
 {
     const AnswerPtr answer = cluster.ask("still there", 4);
@@ -89,10 +89,10 @@
     return body;
 }
 
-/// A request field and the parameter that the refusal must name.
+/// An invalid request field and the parameter that the refusal must name.
 struct BadField {
-    json extra;        ///< merged into a good request
-    std::string param; ///< named by the error
+    json extra;        ///< merged into a valid request
+    std::string param; ///< expected in the error's `param`
 };
 
 std::ostream &operator<<(std::ostream &out, const BadField &field)
@@ -245,8 +245,8 @@
 
 BOOST_AUTO_TEST_CASE(pipelined_requests_are_answered_in_order)
 {
-    // Two requests arrive in one packet. The second waits in the buffer until the first is answered; it is neither lost
-    // nor mixed with the first.
+    // Two requests are sent at once on one connection. The second stays in the buffer until the first is answered, and must
+    // be neither lost nor mixed with the first.
     Cluster cluster;
     const auto raw = [](const std::string &id) {
         const std::string body = chatBody({}).dump();
@@ -261,9 +261,9 @@
 
 BOOST_AUTO_TEST_CASE(a_loop_stopped_with_pending_events_closes_all_connections)
 {
-    // A process is asked to end while several of its callers' connections have something to be read. The loop stops after
-    // the first; the server is destroyed, and then the loop. Each caller sees its connection end, also where the process
-    // goes on without the loop.
+    // Guards against connections that stay open when a process ends: the server and then the loop are destroyed. The first
+    // of several readable requests stops the loop, so that the read events of the others are still pending when the server
+    // is destroyed. Every caller must see its connection close, even if the process continues without the loop.
     constexpr std::size_t count = 8;
     std::vector<int> sockets;
     {
@@ -312,7 +312,7 @@
     BOOST_TEST(cluster.operate("GET", "/operator/v1/nothing").status == 404);
 }
 
-/// Guards against requests that are taken for others because their first line came in two parts.
+/// Guards against a request line that is parsed wrongly because it is received in two parts.
 BOOST_AUTO_TEST_CASE(a_request_line_in_two_parts_is_read_whole, *boost::unit_test::label("known_red"))
 {
     EventLoop loop;
