--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -28,7 +28,7 @@
     int refusalStatus = 0;     ///< status of the refusal, sent once the request is read; 0: not refused
     std::string refusalText;   ///< reason of the refusal
     std::size_t bodyBytes = 0; ///< body bytes received, including those over the limit
-    bool isHandled = false;    ///< the handler was called
+    bool isHandled = false;    ///< the complete request was passed to the handler or refused
     bool isBegun = false;
     bool isEnded = false;
     std::function<void()> disconnectHandler;
--- a/src/wire/link.h
+++ b/src/wire/link.h
@@ -33,7 +33,7 @@
 struct LinkHandlers {
     std::function<void(const LinkPtr &)> onReady;                 ///< the peer's Hello was received; may be empty
     std::function<bool(const LinkPtr &, const Frame &)> onFrame;  ///< returns false if the frame is malformed or unexpected; the link is then closed
-    std::function<void(const LinkPtr &, const Error &)> onClosed; ///< called once when the link is closed or fails, except through close()
+    std::function<void(const LinkPtr &, const Error &)> onClosed; ///< called once when the peer closes the link or it fails; not called by close()
 };
 
 /// A TCP connection that carries frames.
