--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -140,7 +140,7 @@
     handlers.onToken = [this, answer](const TokenFrame &token) {
         recordTokenLatency(*answer);
         pushToken(*answer, token);
-        if (answer->exchange->buffered() > maxCallerBacklogBytes) {
+        if (answer->exchange->unsentBytes() > maxCallerBacklogBytes) {
             answer->exchange->abort();
             abandon(*answer);
         }
@@ -178,7 +178,7 @@
 {
     ++openTotal;
     ++openByWorkspace[answer->workspace];
-    answer->exchange->onClosed([this, answer] {
+    answer->exchange->onDisconnected([this, answer] {
         abandon(*answer);
     });
     const auto begin = [this, answer, request = std::make_shared<StreamRequest>(std::move(request))] {
--- a/src/sidecar/announcer.h
+++ b/src/sidecar/announcer.h
@@ -17,7 +17,7 @@
 {
 public:
     /// `describe` fills in the fields that change: all but identity, location, sequence, address, target class and wire version.
-    Announcer(SidecarContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe);
+    Announcer(SidecarContext &context, Store &store, DatagramSocket &datagrams, std::vector<Address> seeds, std::function<void(Announcement &)> describe);
     ~Announcer();
 
     /// Starts announcing `self` as the address of this sidecar, every announce-interval.
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -126,7 +126,7 @@
     std::optional<StageReport> report;
     LinkHandlers handlers;
     handlers.onFrame = [&report](const LinkPtr &, const Frame &frame) {
-        return frame.message != StageReport::messageId || decodeAnd<StageReport>(frame, [&report](const StageReport &message) {
+        return frame.message != StageReport::messageId || decodeAndHandle<StageReport>(frame, [&report](const StageReport &message) {
                    report = message;
                });
     };
