--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -21,7 +21,7 @@
 /// An answer with what running it needs.
 struct OpenAnswer : CompletionAnswer {
     WorkspaceName workspace;        ///< of the caller
-    WorkOwner owner;                ///< whose work it is
+    UsageOwner owner;               ///< whose work it is
     double firstTokenTarget = 0;    ///< seconds
     double betweenTokensTarget = 0; ///< seconds; 0: none
     TimePoint startedAt{};          ///< admitted; zero while waiting
@@ -63,7 +63,7 @@
     EntryContext &context;
     Streams &streams;
     const InputGuard &guard;
-    WorkKeeper &work;
+    UsageRecorder &work;
     AdmissionQueue admission;
     std::map<WorkspaceName, std::size_t> openByWorkspace;
     std::size_t openInAll = 0;
@@ -215,7 +215,7 @@
     stream.need = {{service.model}, service.version, service.adapter, static_cast<std::uint32_t>(model.layers)};
     stream.prompt = request.prompt;
     stream.maxTokens = request.maxTokens > 0 ? request.maxTokens : static_cast<std::uint32_t>(service.maxTokens);
-    const WorkOwner owner{caller.workspace, {request.service}, {service.model}, caller.section->worth};
+    const UsageOwner owner{caller.workspace, {request.service}, {service.model}, caller.section->worth};
     stream.fingerprint = hash64(request.prompt, hash64(request.service));
     stream.service.value = request.service;
     stream.workspace = caller.workspace;
@@ -250,7 +250,7 @@
 
 // [SECTION] Completions
 
-Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, WorkKeeper &work)
+Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &work)
     : d(new Private{context,
                     streams,
                     guard,
--- a/src/entry/completions.h
+++ b/src/entry/completions.h
@@ -7,7 +7,7 @@
 #include "entry/admission_queue.h"
 #include "entry/completion_request.h"
 #include "entry/streams.h"
-#include "entry/work_keeper.h"
+#include "entry/usage_recorder.h"
 #include "http/server.h"
 
 namespace Parsleytrail
@@ -25,7 +25,7 @@
 class Completions
 {
 public:
-    Completions(EntryContext &context, Streams &streams, const InputGuard &guard, WorkKeeper &work);
+    Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &work);
     ~Completions();
 
     /// POST /v1/chat/completions
--- a/src/entry/configuration_keeper.cpp
+++ b/src/entry/configuration_manager.cpp
@@ -1,5 +1,5 @@
 // Index: [SECTION] Rows and objects, [SECTION] Taking, [SECTION] Polling, [SECTION] Applying, [SECTION] ConfigurationKeeper
-#include "entry/configuration_keeper.h"
+#include "entry/configuration_manager.h"
 
 #include "base/digest.h"
 #include "base/log.h"
@@ -20,7 +20,7 @@
 constexpr const char *historyTable = "configuration-history";
 constexpr const char *objectPrefix = "configuration-";
 constexpr std::size_t maxChangesSinceSnapshot = 32; ///< a process that starts with no peers reads at most so many objects
-constexpr int maxTransactTries = 4;                 ///< of one accepted file whose answers are lost
+constexpr int maxTransactAttempts = 4;              ///< of one accepted file whose answers are lost
 
 namespace
 {
@@ -89,7 +89,7 @@
 }
 
 /// A file on its way to being accepted.
-struct Application {
+struct PendingApply {
     Configuration wanted;                          ///< as parsed
     std::optional<ConfigurationVersion> ifMatch;   ///< version the operator named
     bool isDryRun = false;                         ///< changes nothing
@@ -97,12 +97,12 @@
     ApplyResult result;                            ///< filled on the way
     CurrentRow next;                               ///< row to write
     std::string object;                            ///< object to write
-    int triesLeft = maxTransactTries;              ///< of the transaction
+    int attemptsLeft = maxTransactAttempts;        ///< of the transaction
 };
-using ApplicationPtr = std::shared_ptr<Application>;
+using PendingApplyPtr = std::shared_ptr<PendingApply>;
 
 /// Objects being read one after the other.
-struct Loading {
+struct LoadProgress {
     CurrentRow row;        ///< what they make up
     std::size_t next = 0;  ///< index of the next object
     Configuration partial; ///< so far; its version counts objects
@@ -110,42 +110,42 @@
 
 } // namespace
 
-struct ConfigurationKeeper::Private {
+struct ConfigurationManager::Private {
     EntryContext &context;
     Store &store;
     Configuration configuration;
     ConfigurationLog log;
     CurrentRow row; ///< last read or written; its objects make up its digest
     std::function<void()> changed;
-    bool hasReadRow = false;          ///< since the start
+    bool hasReadCurrentRow = false;   ///< since the start
     ConfigurationVersion peerVersion; ///< newest heard of from a peer in service
-    bool hasPeer = false;
+    bool hasReadyPeer = false;
     bool isPolling = false;
     std::uint64_t bytesSent = 0; ///< of section texts
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    void force(Configuration fresh);
-    void takeRow(const CurrentRow &read);
-    void loadNext(const std::shared_ptr<Loading> &loading);
+    void activate(Configuration fresh);
+    void handleRow(const CurrentRow &read);
+    void loadNext(const std::shared_ptr<LoadProgress> &loading);
     void endPoll();
 
-    void finish(const ApplicationPtr &application, ApplyEnd end, ConfigurationVersion version);
-    void prepare(const ApplicationPtr &application);
-    void putObject(const ApplicationPtr &application);
-    void transact(const ApplicationPtr &application);
-    void resolve(const ApplicationPtr &application);
-    void accept(const ApplicationPtr &application);
+    void finish(const PendingApplyPtr &pending, ApplyOutcome outcome, ConfigurationVersion version);
+    void prepare(const PendingApplyPtr &pending);
+    void putObject(const PendingApplyPtr &pending);
+    void transact(const PendingApplyPtr &pending);
+    void resolve(const PendingApplyPtr &pending);
+    void accept(const PendingApplyPtr &pending);
     std::string now() const;
 };
 
-std::string ConfigurationKeeper::Private::now() const
+std::string ConfigurationManager::Private::now() const
 {
     return absl::FormatTime("%Y-%m-%dT%H:%M:%SZ", absl::FromChrono(context.clock.wallTime()), absl::UTCTimeZone());
 }
 
 // [SECTION] Taking
 
-void ConfigurationKeeper::Private::force(Configuration fresh)
+void ConfigurationManager::Private::activate(Configuration fresh)
 {
     recordChange(log, configuration, fresh);
     configuration = std::move(fresh);
@@ -158,38 +158,38 @@
 
 // [SECTION] Polling
 
-void ConfigurationKeeper::Private::endPoll()
+void ConfigurationManager::Private::endPoll()
 {
     isPolling = false;
 }
 
-void ConfigurationKeeper::Private::takeRow(const CurrentRow &read)
+void ConfigurationManager::Private::handleRow(const CurrentRow &read)
 {
     if (read.version > row.version) {
         row = read;
     }
     if (read.version <= configuration.version) {
-        hasReadRow = true;
+        hasReadCurrentRow = true;
         return endPoll();
     }
-    const auto loading = std::make_shared<Loading>();
+    const auto loading = std::make_shared<LoadProgress>();
     loading->row = read;
     loadNext(loading);
 }
 
-void ConfigurationKeeper::Private::loadNext(const std::shared_ptr<Loading> &loading)
+void ConfigurationManager::Private::loadNext(const std::shared_ptr<LoadProgress> &loading)
 {
     if (loading->next == loading->row.objects.size()) {
         endPoll();
-        const bool isWhole = loading->partial.digest == loading->row.digest;
-        if (!isWhole) {
+        const bool isComplete = loading->partial.digest == loading->row.digest;
+        if (!isComplete) {
             logEvent(Event::ConfigurationDamaged, {{"version", std::to_string(loading->row.version.value)}, {"from", "store"}});
             return;
         }
-        hasReadRow = true;
+        hasReadCurrentRow = true;
         if (loading->row.version > configuration.version) {
             loading->partial.version = loading->row.version;
-            force(std::move(loading->partial));
+            activate(std::move(loading->partial));
         }
         return;
     }
@@ -218,86 +218,86 @@
 
 // [SECTION] Applying
 
-void ConfigurationKeeper::Private::finish(const ApplicationPtr &application, ApplyEnd end, ConfigurationVersion version)
+void ConfigurationManager::Private::finish(const PendingApplyPtr &pending, ApplyOutcome outcome, ConfigurationVersion version)
 {
-    application->result.end = end;
-    application->result.version = version;
-    application->done(application->result);
+    pending->result.outcome = outcome;
+    pending->result.version = version;
+    pending->done(pending->result);
 }
 
 /// The row was read and is what is in force here: checks the operator's condition and makes the next row.
-void ConfigurationKeeper::Private::prepare(const ApplicationPtr &application)
+void ConfigurationManager::Private::prepare(const PendingApplyPtr &pending)
 {
-    application->result.differences = compareConfigurations(configuration, application->wanted);
-    const bool isOther = application->ifMatch && *application->ifMatch != configuration.version;
+    pending->result.differences = compareConfigurations(configuration, pending->wanted);
+    const bool isOther = pending->ifMatch && *pending->ifMatch != configuration.version;
     if (isOther) {
-        return finish(application, ApplyEnd::Conflict, configuration.version);
+        return finish(pending, ApplyOutcome::Conflict, configuration.version);
     }
-    if (application->result.differences.empty()) {
-        return finish(application, ApplyEnd::Unchanged, configuration.version);
+    if (pending->result.differences.empty()) {
+        return finish(pending, ApplyOutcome::Unchanged, configuration.version);
     }
-    if (application->isDryRun) {
-        return finish(application, ApplyEnd::DryRun, configuration.version);
+    if (pending->isDryRun) {
+        return finish(pending, ApplyOutcome::DryRun, configuration.version);
     }
-    application->wanted.version.value = configuration.version.value + 1;
+    pending->wanted.version.value = configuration.version.value + 1;
     const bool isSnapshot = row.objects.empty() || row.objects.size() > maxChangesSinceSnapshot;
     ConfigurationLog step;
-    recordChange(step, configuration, application->wanted);
+    recordChange(step, configuration, pending->wanted);
     const ConfigurationVersion base = isSnapshot ? ConfigurationVersion{} : configuration.version;
-    application->object = encodeObject(makeUpdate(application->wanted, step, base, SectionScope::All));
-    application->next.version = application->wanted.version;
-    application->next.digest = application->wanted.digest;
-    application->next.writeId = randomHex();
+    pending->object = encodeObject(makeUpdate(pending->wanted, step, base, SectionScope::All));
+    pending->next.version = pending->wanted.version;
+    pending->next.digest = pending->wanted.digest;
+    pending->next.writeId = randomHex();
     if (!isSnapshot) {
-        application->next.objects = row.objects;
+        pending->next.objects = row.objects;
     }
-    application->next.objects.push_back(sha256Hex(application->object));
-    putObject(application);
+    pending->next.objects.push_back(sha256Hex(pending->object));
+    putObject(pending);
 }
 
-void ConfigurationKeeper::Private::putObject(const ApplicationPtr &application)
+void ConfigurationManager::Private::putObject(const PendingApplyPtr &pending)
 {
-    const std::string name = objectPrefix + application->next.objects.back();
-    store.putObject(name, application->object, [this, application, weak = std::weak_ptr(alive)](StoreStatus status) {
+    const std::string name = objectPrefix + pending->next.objects.back();
+    store.putObject(name, pending->object, [this, pending, weak = std::weak_ptr(alive)](StoreStatus status) {
         if (weak.expired()) {
             return;
         }
         if (status == StoreStatus::Ok) {
-            return transact(application);
+            return transact(pending);
         }
-        if (status == StoreStatus::Unknown && --application->triesLeft > 0) {
-            return putObject(application); // the same name and content: it can't do harm twice
+        if (status == StoreStatus::Unknown && --pending->attemptsLeft > 0) {
+            return putObject(pending); // the same name and content: it can't do harm twice
         }
-        finish(application, ApplyEnd::Unavailable, configuration.version);
+        finish(pending, ApplyOutcome::Unavailable, configuration.version);
     });
 }
 
-void ConfigurationKeeper::Private::transact(const ApplicationPtr &application)
+void ConfigurationManager::Private::transact(const PendingApplyPtr &pending)
 {
     json changes = json::array();
-    for (const SectionDifference &difference : application->result.differences) {
+    for (const SectionDifference &difference : pending->result.differences) {
         changes.push_back(describe(difference));
     }
     const json entry = {
-        {"digest", application->next.digest}, {"entry", context.settings.id}, {"time", now()}, {"changes", changes}, {"write", application->next.writeId}};
-    const std::uint64_t before = application->next.version.value - 1;
-    const std::vector<RowWrite> writes = {{configurationTable, currentRow, encodeCurrent(application->next), before},
-                                          {historyTable, historyKey(application->next.version), entry.dump(), 0}};
-    store.transact(writes, [this, application, weak = std::weak_ptr(alive)](StoreStatus status) {
+        {"digest", pending->next.digest}, {"entry", context.settings.id}, {"time", now()}, {"changes", changes}, {"write", pending->next.writeId}};
+    const std::uint64_t before = pending->next.version.value - 1;
+    const std::vector<RowWrite> writes = {{configurationTable, currentRow, encodeCurrent(pending->next), before},
+                                          {historyTable, historyKey(pending->next.version), entry.dump(), 0}};
+    store.transact(writes, [this, pending, weak = std::weak_ptr(alive)](StoreStatus status) {
         if (weak.expired()) {
             return;
         }
         switch (status) {
         case StoreStatus::Ok:
-            return accept(application);
+            return accept(pending);
         case StoreStatus::Conflict:
         case StoreStatus::Unknown:
-            return resolve(application);
+            return resolve(pending);
         case StoreStatus::NotFound:
         case StoreStatus::Unavailable: {
             // If an earlier try was lost it may have taken effect.
-            const bool wasLost = application->triesLeft < maxTransactTries;
-            return finish(application, wasLost ? ApplyEnd::Unknown : ApplyEnd::Unavailable, configuration.version);
+            const bool wasLost = pending->attemptsLeft < maxTransactAttempts;
+            return finish(pending, wasLost ? ApplyOutcome::Unknown : ApplyOutcome::Unavailable, configuration.version);
         }
         }
     });
@@ -305,79 +305,79 @@
 
 /// Whether the write took effect is not known, or another one came first. The history row of the wanted version tells:
 /// it is written together with the current row, once, and stays.
-void ConfigurationKeeper::Private::resolve(const ApplicationPtr &application)
+void ConfigurationManager::Private::resolve(const PendingApplyPtr &pending)
 {
-    --application->triesLeft;
-    store.readRow(historyTable, historyKey(application->next.version), [this, application, weak = std::weak_ptr(alive)](StoreStatus status, const Row &read) {
+    --pending->attemptsLeft;
+    store.readRow(historyTable, historyKey(pending->next.version), [this, pending, weak = std::weak_ptr(alive)](StoreStatus status, const Row &read) {
         if (weak.expired()) {
             return;
         }
         if (status == StoreStatus::Ok) {
             const json value = json::parse(read.value, nullptr, false);
-            const bool isMine = value.is_object() && value.value("write", "") == application->next.writeId;
-            return isMine ? accept(application) : finish(application, ApplyEnd::Conflict, application->next.version);
+            const bool isMine = value.is_object() && value.value("write", "") == pending->next.writeId;
+            return isMine ? accept(pending) : finish(pending, ApplyOutcome::Conflict, pending->next.version);
         }
-        if (application->triesLeft <= 0) {
-            return finish(application, ApplyEnd::Unknown, configuration.version);
+        if (pending->attemptsLeft <= 0) {
+            return finish(pending, ApplyOutcome::Unknown, configuration.version);
         }
         if (status == StoreStatus::NotFound) {
-            return transact(application); // the same write id and condition: it can take effect once only
+            return transact(pending); // the same write id and condition: it can take effect once only
         }
-        resolve(application);
+        resolve(pending);
     });
 }
 
-void ConfigurationKeeper::Private::accept(const ApplicationPtr &application)
+void ConfigurationManager::Private::accept(const PendingApplyPtr &pending)
 {
-    if (application->next.version > row.version) {
-        row = application->next;
+    if (pending->next.version > row.version) {
+        row = pending->next;
     }
     // A peer may have pushed a newer one while the answers were lost.
-    if (application->wanted.version > configuration.version) {
-        force(application->wanted);
+    if (pending->wanted.version > configuration.version) {
+        activate(pending->wanted);
     }
-    finish(application, ApplyEnd::Accepted, application->next.version);
+    finish(pending, ApplyOutcome::Accepted, pending->next.version);
 }
 
 // [SECTION] ConfigurationKeeper
 
-ConfigurationKeeper::ConfigurationKeeper(EntryContext &context, Store &store)
+ConfigurationManager::ConfigurationManager(EntryContext &context, Store &store)
     : d(new Private{context, store})
 {
 }
 
-ConfigurationKeeper::~ConfigurationKeeper() = default;
+ConfigurationManager::~ConfigurationManager() = default;
 
-const Configuration &ConfigurationKeeper::inForce() const
+const Configuration &ConfigurationManager::inForce() const
 {
     return d->configuration;
 }
 
-void ConfigurationKeeper::onChanged(std::function<void()> handler)
+void ConfigurationManager::onChanged(std::function<void()> handler)
 {
     d->changed = std::move(handler);
 }
 
-void ConfigurationKeeper::apply(const std::string &text, std::optional<ConfigurationVersion> ifMatch, bool isDryRun,
-                                std::function<void(const ApplyResult &)> done)
+void ConfigurationManager::apply(const std::string &text, std::optional<ConfigurationVersion> ifMatch, bool isDryRun,
+                                 std::function<void(const ApplyResult &)> done)
 {
-    const auto application = std::make_shared<Application>();
-    application->ifMatch = ifMatch;
-    application->isDryRun = isDryRun;
-    application->done = std::move(done);
-    application->wanted = parseConfiguration(text, application->result.problems);
-    if (!application->result.problems.empty()) {
-        logEvent(Event::ConfigurationRefused, {{"problems", std::to_string(application->result.problems.size())}});
-        return d->finish(application, ApplyEnd::Invalid, d->configuration.version);
+    const auto pending = std::make_shared<PendingApply>();
+    pending->ifMatch = ifMatch;
+    pending->isDryRun = isDryRun;
+    pending->done = std::move(done);
+    pending->wanted = parseConfiguration(text, pending->result.problems);
+    if (!pending->result.problems.empty()) {
+        logEvent(Event::ConfigurationRefused, {{"problems", std::to_string(pending->result.problems.size())}});
+        return d->finish(pending, ApplyOutcome::Invalid, d->configuration.version);
     }
-    d->store.readRow(configurationTable, currentRow, [this, application, weak = std::weak_ptr(d->alive)](StoreStatus status, const Row &read) {
+    d->store.readRow(configurationTable, currentRow, [this, pending, weak = std::weak_ptr(d->alive)](StoreStatus status, const Row &read) {
         if (weak.expired()) {
             return;
         }
         CurrentRow current;
         const bool isRead = status == StoreStatus::NotFound || (status == StoreStatus::Ok && decodeCurrent(read, current));
         if (!isRead) {
-            return d->finish(application, ApplyEnd::Unavailable, d->configuration.version);
+            return d->finish(pending, ApplyOutcome::Unavailable, d->configuration.version);
         }
         if (current.version > d->row.version) {
             d->row = current;
@@ -385,13 +385,13 @@
         if (current.version != d->configuration.version) {
             // Another entry accepted one just now; this one catches up, and the operator, who has not seen it, asks again.
             poll();
-            return d->finish(application, ApplyEnd::Conflict, current.version);
+            return d->finish(pending, ApplyOutcome::Conflict, current.version);
         }
-        d->prepare(application);
+        d->prepare(pending);
     });
 }
 
-void ConfigurationKeeper::history(int limit, std::function<void(StoreStatus, const std::vector<HistoryEntry> &)> done)
+void ConfigurationManager::history(int limit, std::function<void(StoreStatus, const std::vector<HistoryEntry> &)> done)
 {
     d->store.scanRows(historyTable, "", "", limit, [done = std::move(done)](StoreStatus status, const std::vector<Row> &rows) {
         std::vector<HistoryEntry> entries;
@@ -407,7 +407,7 @@
     });
 }
 
-void ConfigurationKeeper::poll()
+void ConfigurationManager::poll()
 {
     if (d->isPolling) {
         return;
@@ -419,21 +419,21 @@
         }
         CurrentRow current;
         if (status == StoreStatus::NotFound) {
-            d->hasReadRow = true;
+            d->hasReadCurrentRow = true;
         }
         if (status != StoreStatus::Ok || !decodeCurrent(read, current)) {
             return d->endPoll();
         }
-        d->takeRow(current);
+        d->handleRow(current);
     });
 }
 
-void ConfigurationKeeper::take(const LinkPtr &link, const ConfigurationUpdate &update)
+void ConfigurationManager::handleUpdate(const LinkPtr &link, const ConfigurationUpdate &update)
 {
     Configuration fresh;
     switch (applyUpdate(d->configuration, update, fresh)) {
     case UpdateResult::Applied:
-        d->force(std::move(fresh));
+        d->activate(std::move(fresh));
         break;
     case UpdateResult::NotNewer:
         logEvent(Event::ConfigurationOlder, {{"version", std::to_string(update.version.value)}, {"from", link->peer().process}});
@@ -447,7 +447,7 @@
     }
 }
 
-void ConfigurationKeeper::sendTo(const LinkPtr &link, ConfigurationVersion known, SectionScope scope)
+void ConfigurationManager::sendTo(const LinkPtr &link, ConfigurationVersion known, SectionScope scope)
 {
     if (known >= d->configuration.version) {
         return;
@@ -459,20 +459,20 @@
     link->send(update);
 }
 
-std::uint64_t ConfigurationKeeper::bytesSent() const
+std::uint64_t ConfigurationManager::bytesSent() const
 {
     return d->bytesSent;
 }
 
-bool ConfigurationKeeper::isTrusted() const
+bool ConfigurationManager::isTrusted() const
 {
-    const bool hasPeersNewest = d->hasPeer && d->configuration.version >= d->peerVersion;
-    return d->configuration.version.value > 0 && (d->hasReadRow || hasPeersNewest);
+    const bool hasPeersNewest = d->hasReadyPeer && d->configuration.version >= d->peerVersion;
+    return d->configuration.version.value > 0 && (d->hasReadCurrentRow || hasPeersNewest);
 }
 
-void ConfigurationKeeper::notePeer(ConfigurationVersion version)
+void ConfigurationManager::recordPeerVersion(ConfigurationVersion version)
 {
-    d->hasPeer = true;
+    d->hasReadyPeer = true;
     d->peerVersion = std::max(d->peerVersion, version);
 }
 
--- a/src/entry/configuration_keeper.h
+++ b/src/entry/configuration_manager.h
@@ -14,7 +14,7 @@
 {
 
 /// How an operator's file ended.
-enum class ApplyEnd {
+enum class ApplyOutcome {
     Accepted,    ///< in force here, on its way to the others
     Unchanged,   ///< the file equals what is in force
     DryRun,      ///< it would be accepted
@@ -26,10 +26,10 @@
 
 /// Result of an operator's file.
 struct ApplyResult {
-    ApplyEnd end = ApplyEnd::Unavailable;       ///< how it ended
-    ConfigurationVersion version;               ///< accepted, or in force for the others
-    std::vector<IniProblem> problems;           ///< for Invalid
-    std::vector<SectionDifference> differences; ///< what changes
+    ApplyOutcome outcome = ApplyOutcome::Unavailable; ///< how it ended
+    ConfigurationVersion version;                     ///< accepted, or in force for the others
+    std::vector<IniProblem> problems;                 ///< for Invalid
+    std::vector<SectionDifference> differences;       ///< what changes
 };
 
 /// A version in the history.
@@ -42,11 +42,11 @@
 };
 
 /// Keeps the configuration.
-class ConfigurationKeeper
+class ConfigurationManager
 {
 public:
-    ConfigurationKeeper(EntryContext &context, Store &store);
-    ~ConfigurationKeeper();
+    ConfigurationManager(EntryContext &context, Store &store);
+    ~ConfigurationManager();
 
     /// What is in force; version 0 before any is known.
     const Configuration &inForce() const;
@@ -60,7 +60,7 @@
     /// Reads the row and, if it is newer, the objects it names.
     void poll();
     /// Takes an update from a peer.
-    void take(const LinkPtr &link, const ConfigurationUpdate &update);
+    void handleUpdate(const LinkPtr &link, const ConfigurationUpdate &update);
     /// Sends a peer what it lacks.
     void sendTo(const LinkPtr &link, ConfigurationVersion known, SectionScope scope);
 
@@ -70,7 +70,7 @@
     /// Bytes of section texts sent to peers and sidecars.
     std::uint64_t bytesSent() const;
     /// A peer in service has this version in force.
-    void notePeer(ConfigurationVersion version);
+    void recordPeerVersion(ConfigurationVersion version);
 
 private:
     struct Private;
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -15,7 +15,7 @@
 
 constexpr milliseconds tickInterval{50};
 constexpr milliseconds sidecarAnnounceInterval{10000}; ///< between announcements of an entry to its sidecars
-constexpr milliseconds longestLastWrite{5000};         ///< wait for the store at the end of a drain
+constexpr milliseconds finalWriteTimeout{5000};        ///< wait for the store at the end of a drain
 
 // [SECTION] Parts
 
@@ -33,11 +33,11 @@
     std::unique_ptr<Targets> targets;
     std::unique_ptr<InputGuard> guard;
     std::unique_ptr<Streams> streams;
-    std::unique_ptr<WorkKeeper> work;
+    std::unique_ptr<UsageRecorder> usageRecorder;
     std::unique_ptr<KeyedCalls> keys;
     std::unique_ptr<ServiceCalls> calls;
     std::unique_ptr<Completions> completions;
-    std::unique_ptr<ConfigurationKeeper> keeper;
+    std::unique_ptr<ConfigurationManager> configurationManager;
     std::unique_ptr<Datagrams> datagrams;
     std::unique_ptr<Peers> peers;
     std::unique_ptr<LinkServer> peerServer;
@@ -50,22 +50,22 @@
     Timer announceTimer;
     Timer pollTimer;
     Timer drainTimer;
-    TimePoint tickedAt{};
+    TimePoint lastTickAt{};
     TimePoint drainStartedAt{};
     TimePoint idleSince{}; ///< no request open, and something to write; zero otherwise
     TimePoint nextSidecarAnnounce{};
     std::function<void()> drained;
 
     Private(EventLoop &eventLoop, const Clock &systemClock, EntrySettings entrySettings);
-    Result<void> makeParts();
-    void makeLinks();
-    void connectParts();
+    Result<void> createComponents();
+    void createLinks();
+    void connectHandlers();
     Result<void> listen();
 
-    bool takeFrame(const LinkPtr &link, const Frame &frame);
-    bool takeDatagram(const Frame &frame, const Address &from);
-    void takePeer(const EntryAnnouncement &announcement);
-    void configurationChanged();
+    bool handleFrame(const LinkPtr &link, const Frame &frame);
+    bool handleDatagram(const Frame &frame, const Address &from);
+    void handlePeerAnnouncement(const EntryAnnouncement &announcement);
+    void distributeConfiguration();
     std::string acceleratorOf(const TargetId &target) const;
 
     void tick();
@@ -97,7 +97,7 @@
                     })
     , pollTimer(eventLoop,
                 [this] {
-                    keeper->poll();
+                    configurationManager->poll();
                 })
     , drainTimer(eventLoop, [this] {
         checkDrained();
@@ -105,18 +105,18 @@
 {
 }
 
-void Entry::Private::makeLinks()
+void Entry::Private::createLinks()
 {
     const LinkIdentity identity{{Role::Entry, settings.id, incarnation}, static_cast<std::uint16_t>(settings.wireVersion)};
     LinkHandlers handlers;
     handlers.onFrame = [this](const LinkPtr &link, const Frame &frame) {
-        return takeFrame(link, frame);
+        return handleFrame(link, frame);
     };
     handlers.onClosed = [this](const LinkPtr &link, const Error &error) {
         logEvent(Event::LinkLost, {{"peer", link->peerName()}, {"process", link->peer().process}, {"reason", error.text}});
-        targets->linkGone(link->peerName());
+        targets->handleLinkLost(link->peerName());
         streams->linkGone(link->peerName(), error);
-        calls->linkGone(link->peerName(), error);
+        calls->handleLinkLost(link->peerName(), error);
     };
     links = std::make_unique<LinkPool>(loop, identity, handlers);
     LinkHandlers incoming;
@@ -127,7 +127,7 @@
     peerServer = std::make_unique<LinkServer>(loop, identity, incoming);
 }
 
-Result<void> Entry::Private::makeParts()
+Result<void> Entry::Private::createComponents()
 {
     if (!settings.historyFile.empty() && !history.openFile(settings.historyFile)) {
         return fail("open history", settings.historyFile, "cannot be written");
@@ -138,7 +138,7 @@
         BOOST_LEAF_AUTO(seed, parseAddress(text));
         seeds.push_back(seed);
     }
-    makeLinks();
+    createLinks();
     RetryBudget retries;
     retries.share = static_cast<double>(settings.retryBudgetPercent) / 100;
     context.reset(new EntryContext{loop, clock, settings, incarnation, *links, metrics, history, std::mt19937_64(std::random_device()()), retries});
@@ -151,43 +151,43 @@
     targets = std::make_unique<Targets>(*context);
     guard = std::make_unique<InputGuard>(*context);
     streams = std::make_unique<Streams>(*context, *targets, *guard);
-    work = std::make_unique<WorkKeeper>(*context, *store);
+    usageRecorder = std::make_unique<UsageRecorder>(*context, *store);
     keys = std::make_unique<KeyedCalls>(*context, *store);
-    calls = std::make_unique<ServiceCalls>(*context, *targets, *keys, *work);
-    completions = std::make_unique<Completions>(*context, *streams, *guard, *work);
-    keeper = std::make_unique<ConfigurationKeeper>(*context, *store);
+    calls = std::make_unique<ServiceCalls>(*context, *targets, *keys, *usageRecorder);
+    completions = std::make_unique<Completions>(*context, *streams, *guard, *usageRecorder);
+    configurationManager = std::make_unique<ConfigurationManager>(*context, *store);
     datagrams = std::make_unique<Datagrams>(loop, static_cast<std::uint16_t>(settings.wireVersion), [this](const Frame &frame, const Address &from) {
-        return takeDatagram(frame, from);
+        return handleDatagram(frame, from);
     });
     peers = std::make_unique<Peers>(*context, *store, *datagrams, std::move(seeds), [this](EntryAnnouncement &announcement) {
         announcement.state = context->isDraining ? TargetState::Draining : isReady() ? TargetState::Ready : TargetState::Joining;
-        announcement.configuration = keeper->inForce().version;
+        announcement.configuration = configurationManager->inForce().version;
     });
-    connectParts();
+    connectHandlers();
     return {};
 }
 
-void Entry::Private::connectParts()
+void Entry::Private::connectHandlers()
 {
-    targets->onGone([this](const TargetId &target) {
+    targets->onLost([this](const TargetId &target) {
         streams->targetGone(target);
     });
     targets->onUsable([this] {
         streams->targetsChanged();
     });
-    targets->onOldConfiguration([this](const LinkPtr &link, ConfigurationVersion known) {
-        keeper->sendTo(link, known, SectionScope::WithoutWorkspaces);
+    targets->onOutdatedConfiguration([this](const LinkPtr &link, ConfigurationVersion known) {
+        configurationManager->sendTo(link, known, SectionScope::WithoutWorkspaces);
     });
-    keeper->onChanged([this] {
-        configurationChanged();
+    configurationManager->onChanged([this] {
+        distributeConfiguration();
     });
     guard->onNotice([this](const SuspicionNotice &notice) {
         for (const Address &peer : peers->fanOut()) {
             links->link(peer)->send(notice);
         }
     });
-    peers->onHeard([this](const EntryAnnouncement &announcement) {
-        takePeer(announcement);
+    peers->onAnnouncement([this](const EntryAnnouncement &announcement) {
+        handlePeerAnnouncement(announcement);
     });
     peers->onLeaving([this](const std::vector<TargetId> &leaving) {
         targets->markLeaving(leaving);
@@ -195,7 +195,7 @@
     callers = std::make_unique<CallerApi>(
         *context, *completions, *calls,
         [this]() -> const Configuration & {
-            return keeper->inForce();
+            return configurationManager->inForce();
         },
         [this] {
             return isReady();
@@ -215,8 +215,8 @@
         return isReady();
     };
     operators = std::make_unique<OperatorServer>(loop, settings.operatorKeyDigest, views);
-    addConfigurationPaths(*operators, *keeper);
-    addReportPath(*operators, *work, *keeper);
+    addConfigurationPaths(*operators, *configurationManager);
+    addReportPath(*operators, *usageRecorder, *configurationManager);
 }
 
 Result<void> Entry::Private::listen()
@@ -230,16 +230,16 @@
 
 // [SECTION] Frames
 
-bool Entry::Private::takeFrame(const LinkPtr &link, const Frame &frame)
+bool Entry::Private::handleFrame(const LinkPtr &link, const Frame &frame)
 {
     switch (frame.message) {
     case ConfigurationUpdate::messageId:
         return decodeAnd<ConfigurationUpdate>(frame, [&](const ConfigurationUpdate &update) {
-            keeper->take(link, update);
+            configurationManager->handleUpdate(link, update);
         });
     case ConfigurationWanted::messageId:
         return decodeAnd<ConfigurationWanted>(frame, [&](const ConfigurationWanted &wanted) {
-            keeper->sendTo(link, wanted.version, link->peer().role == Role::Entry ? SectionScope::All : SectionScope::WithoutWorkspaces);
+            configurationManager->sendTo(link, wanted.version, link->peer().role == Role::Entry ? SectionScope::All : SectionScope::WithoutWorkspaces);
         });
     case SuspicionNotice::messageId:
         return decodeAnd<SuspicionNotice>(frame, [&](const SuspicionNotice &notice) {
@@ -247,27 +247,27 @@
         });
     case StageUsage::messageId:
         return decodeAnd<StageUsage>(frame, [&](const StageUsage &usage) {
-            work->takeUsage(usage, acceleratorOf(usage.target));
+            usageRecorder->recordStageUsage(usage, acceleratorOf(usage.target));
         });
     case TokenFrame::messageId:
     case StageFailed::messageId:
     case StageReport::messageId:
         return streams->takeFrame(frame);
     default:
-        return calls->takeFrame(frame);
+        return calls->handleFrame(frame);
     }
 }
 
-bool Entry::Private::takeDatagram(const Frame &frame, const Address &from)
+bool Entry::Private::handleDatagram(const Frame &frame, const Address &from)
 {
     switch (frame.message) {
     case Announcement::messageId:
         return decodeAnd<Announcement>(frame, [&](const Announcement &announcement) {
-            targets->take(announcement, keeper->inForce().version);
+            targets->handleAnnouncement(announcement, configurationManager->inForce().version);
         });
     case LoadReport::messageId:
         return decodeAnd<LoadReport>(frame, [&](const LoadReport &report) {
-            if (!targets->take(report)) {
+            if (!targets->handleLoadReport(report)) {
                 // Unknown here, most likely since this process has just started: the sidecar announces itself in full to an
                 // entry that it hears of for the first time.
                 peers->announceTo(from);
@@ -275,33 +275,33 @@
         });
     case EntryAnnouncement::messageId:
         return decodeAnd<EntryAnnouncement>(frame, [&](const EntryAnnouncement &peer) {
-            peers->take(peer);
+            peers->handleAnnouncement(peer);
         });
     default:
         return false;
     }
 }
 
-void Entry::Private::takePeer(const EntryAnnouncement &announcement)
+void Entry::Private::handlePeerAnnouncement(const EntryAnnouncement &announcement)
 {
     if (announcement.state == TargetState::Ready) {
-        keeper->notePeer(announcement.configuration);
+        configurationManager->recordPeerVersion(announcement.configuration);
     }
     const LinkPtr link = links->link({announcement.host, announcement.port});
-    if (peers->isNewcomer(announcement)) {
+    if (peers->isNewIncarnation(announcement)) {
         for (const SuspicionNotice &notice : guard->notices()) {
             link->send(notice);
         }
     }
-    const ConfigurationVersion mine = keeper->inForce().version;
+    const ConfigurationVersion mine = configurationManager->inForce().version;
     if (announcement.configuration > mine) {
         link->send(ConfigurationWanted{mine});
     } else if (announcement.configuration < mine) {
-        keeper->sendTo(link, announcement.configuration, SectionScope::All);
+        configurationManager->sendTo(link, announcement.configuration, SectionScope::All);
     }
 }
 
-void Entry::Private::configurationChanged()
+void Entry::Private::distributeConfiguration()
 {
     // Hand it on at once: to a few peers, which hand it on in turn, and to this entry's sidecars. Whoever misses it is
     // found by the versions in the announcements.
@@ -309,12 +309,12 @@
         const Address address{view.last.host, view.last.port};
         const std::vector<Address> fanOut = peers->fanOut();
         if (std::find(fanOut.begin(), fanOut.end(), address) != fanOut.end()) {
-            keeper->sendTo(links->link(address), view.last.configuration, SectionScope::All);
+            configurationManager->sendTo(links->link(address), view.last.configuration, SectionScope::All);
         }
     }
     for (const TargetView *view : targets->views()) {
         if (!view->isTimedOut) {
-            keeper->sendTo(links->link({view->last.host, view->last.port}), view->last.configuration, SectionScope::WithoutWorkspaces);
+            configurationManager->sendTo(links->link({view->last.host, view->last.port}), view->last.configuration, SectionScope::WithoutWorkspaces);
         }
     }
     announce();
@@ -323,7 +323,7 @@
 std::string Entry::Private::acceleratorOf(const TargetId &target) const
 {
     const TargetView *view = targets->find(target);
-    const auto &classes = keeper->inForce().targetClasses;
+    const auto &classes = configurationManager->inForce().targetClasses;
     const auto targetClass = view ? classes.find(view->last.targetClass) : classes.end();
     return targetClass == classes.end() ? "unknown" : targetClass->second.accelerator;
 }
@@ -335,15 +335,15 @@
     const TimePoint now = clock.now();
     // A process that was stopped or starved finds everybody silent before it has read what they sent. Taken for silence, it
     // would give up every stream that it has open, and refuse new ones.
-    const milliseconds stall = processPauseBefore(tickedAt, now, tickInterval);
-    tickedAt = now;
-    targets->tick(stall);
-    peers->tick(stall);
+    const milliseconds processPause = processPauseBefore(lastTickAt, now, tickInterval);
+    lastTickAt = now;
+    targets->tick(processPause);
+    peers->tick(processPause);
     streams->tick();
     calls->tick();
     keys->flush();
     guard->prune();
-    work->tick();
+    usageRecorder->tick();
     completions->tick();
 }
 
@@ -361,19 +361,19 @@
 void Entry::Private::announce()
 {
     const TimePoint now = clock.now();
-    const bool isForSidecars = now >= nextSidecarAnnounce || context->isDraining;
-    if (isForSidecars) {
+    const bool includesSidecars = now >= nextSidecarAnnounce || context->isDraining;
+    if (includesSidecars) {
         nextSidecarAnnounce = now + sidecarAnnounceInterval;
     }
-    peers->announce(isForSidecars ? sidecarAddresses() : std::vector<Address>());
-    if (!keeper->isTrusted()) {
-        keeper->poll();
+    peers->announce(includesSidecars ? sidecarAddresses() : std::vector<Address>());
+    if (!configurationManager->isTrusted()) {
+        configurationManager->poll();
     }
 }
 
 bool Entry::Private::isReady() const
 {
-    return !context->isDraining && keeper->isTrusted();
+    return !context->isDraining && configurationManager->isTrusted();
 }
 
 std::size_t Entry::Private::open() const
@@ -392,18 +392,18 @@
     if (open() > 0) {
         logEvent(Event::DrainTimeout, {{"open", std::to_string(open())}});
     }
-    const bool hasUnwritten = keys->unwritten() > 0 || work->isDirty();
+    const bool hasUnwritten = keys->unwritten() > 0 || usageRecorder->isDirty();
     if (hasUnwritten && idleSince == TimePoint{}) {
         idleSince = now;
     }
     // The store may be away for hours, and the platform wants its instance back. What is lost is safe to lose: a key's end
     // that is not written reads as `unknown`, and counters fall short by what was not flushed.
-    if (hasUnwritten && now - idleSince < longestLastWrite) {
-        work->flush([](StoreStatus) {});
+    if (hasUnwritten && now - idleSince < finalWriteTimeout) {
+        usageRecorder->flush([](StoreStatus) {});
         return;
     }
     if (hasUnwritten) {
-        logEvent(Event::EndsUnwritten, {{"keys", std::to_string(keys->unwritten())}, {"work", work->isDirty() ? "yes" : "no"}});
+        logEvent(Event::EndsUnwritten, {{"keys", std::to_string(keys->unwritten())}, {"work", usageRecorder->isDirty() ? "yes" : "no"}});
     }
     drainTimer.stop();
     history.record("drained", {{"open", std::uint64_t{open()}}});
@@ -414,7 +414,7 @@
 
 json Entry::Private::status() const
 {
-    json result = describeSystem(*context, *keeper, *peers, *targets);
+    json result = describeSystem(*context, *configurationManager, *peers, *targets);
     result["id"] = settings.id;
     result["version"] = PARSLEYTRAIL_VERSION;
     result["isReady"] = isReady();
@@ -437,7 +437,7 @@
                            {"unsent", datagrams->unsent()},
                            {"bytesSent", datagrams->bytesSent()},
                            {"bytesReceived", datagrams->bytesReceived()}};
-    result["configurationBytesSent"] = keeper->bytesSent();
+    result["configurationBytesSent"] = configurationManager->bytesSent();
     result["openStreams"] = json::parse(streams->dump());
     result["openCalls"] = json::parse(calls->dump());
     return result;
@@ -448,7 +448,7 @@
     metrics.gauge("parsley_streams_open", "Streams open.") = static_cast<double>(streams->size());
     metrics.gauge("parsley_calls_open", "Calls to plain services open.") = static_cast<double>(calls->open());
     metrics.gauge("parsley_targets", "Targets known.") = static_cast<double>(targets->views().size());
-    metrics.gauge("parsley_configuration_version", "Configuration version in force.") = static_cast<double>(keeper->inForce().version.value);
+    metrics.gauge("parsley_configuration_version", "Configuration version in force.") = static_cast<double>(configurationManager->inForce().version.value);
     metrics.gauge("parsley_store_reads", "Reads sent to the platform's store.") = static_cast<double>(store->reads());
     metrics.gauge("parsley_store_writes", "Writes sent to the platform's store.") = static_cast<double>(store->writes());
     metrics.gauge("parsley_store_down", "1 while the circuit to the store is open.") = store->isDown() ? 1 : 0;
@@ -471,13 +471,13 @@
 
 Result<void> Entry::start()
 {
-    BOOST_LEAF_CHECK(d->makeParts());
+    BOOST_LEAF_CHECK(d->createComponents());
     BOOST_LEAF_CHECK(d->listen());
     d->peers->start(d->peerAddress);
     d->tickTimer.startRepeating(tickInterval);
     d->announceTimer.startRepeating(d->settings.announceInterval);
     d->pollTimer.startRepeating(d->settings.configurationPoll);
-    d->keeper->poll();
+    d->configurationManager->poll();
     d->peers->tick(milliseconds(0));
     d->announce();
     logEvent(
@@ -526,7 +526,7 @@
 
 std::uint64_t Entry::configurationVersion() const
 {
-    return d->keeper->inForce().version.value;
+    return d->configurationManager->inForce().version.value;
 }
 
 std::size_t Entry::open() const
--- a/src/entry/keyed_calls.cpp
+++ b/src/entry/keyed_calls.cpp
@@ -15,9 +15,9 @@
 // [SECTION] Rows
 
 constexpr const char *callTable = "calls";
-constexpr int maxInsertTries = 3;                ///< inserts of one row whose answers are lost
+constexpr int maxInsertAttempts = 3;             ///< inserts of one row whose answers are lost
 constexpr milliseconds graceAfterDeadline{5000}; ///< a call that has not ended this long after its deadline never will
-constexpr milliseconds flushPause{500};          ///< between tries to write one end
+constexpr milliseconds writeRetryInterval{500};  ///< between tries to write one end
 
 namespace
 {
@@ -29,7 +29,7 @@
     std::string writeId;         ///< of the insert
     std::int64_t startedMs = 0;  ///< wall time
     std::int64_t deadlineMs = 0; ///< longest time of the call
-    KeptAnswer answer;           ///< for state answered
+    StoredResponse answer;       ///< for state answered
 };
 
 std::string encodeRow(const KeyRow &row)
@@ -84,16 +84,16 @@
 } // namespace
 
 struct KeyedCalls::Private {
-    using Done = std::function<void(KeyVerdict, const KeptAnswer &)>;
+    using Done = std::function<void(KeyDecision, const StoredResponse &)>;
 
     EntryContext &context;
     Store &store;
     std::map<std::string, HeldKey> held; ///< by row key: running here, or ended and not yet written
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    void insert(const std::string &name, KeyRow row, std::uint64_t ifVersion, int triesLeft, Done done);
-    void readBack(const std::string &name, const KeyRow &mine, int triesLeft, const Done &done);
-    void judge(const std::string &name, const KeyRow &mine, const Row &row, const Done &done);
+    void insert(const std::string &name, KeyRow row, std::uint64_t ifVersion, int attemptsLeft, Done done);
+    void readBack(const std::string &name, const KeyRow &mine, int attemptsLeft, const Done &done);
+    void classifyRow(const std::string &name, const KeyRow &mine, const Row &row, const Done &done);
     void write(const std::string &name);
     std::int64_t nowMs() const;
 };
@@ -105,23 +105,23 @@
 
 // [SECTION] Beginning
 
-void KeyedCalls::Private::insert(const std::string &name, KeyRow row, std::uint64_t ifVersion, int triesLeft, Done done)
+void KeyedCalls::Private::insert(const std::string &name, KeyRow row, std::uint64_t ifVersion, int attemptsLeft, Done done)
 {
     const std::string value = encodeRow(row);
-    store.transact({{callTable, name, value, ifVersion}}, [this, name, row, ifVersion, triesLeft, done, weak = std::weak_ptr(alive)](StoreStatus status) {
+    store.transact({{callTable, name, value, ifVersion}}, [this, name, row, ifVersion, attemptsLeft, done, weak = std::weak_ptr(alive)](StoreStatus status) {
         if (weak.expired()) {
             return;
         }
         if (status == StoreStatus::Ok) {
             held[name] = {row, ifVersion + 1, true, false, {}};
-            return done(KeyVerdict::Run, {});
+            return done(KeyDecision::Run, {});
         }
         if (status == StoreStatus::Conflict) {
-            return readBack(name, row, triesLeft, done);
+            return readBack(name, row, attemptsLeft, done);
         }
-        if (status == StoreStatus::Unknown && triesLeft > 1) {
+        if (status == StoreStatus::Unknown && attemptsLeft > 1) {
             // Sent again with the same write id: if the first one took effect, this one conflicts and is read back.
-            return insert(name, row, ifVersion, triesLeft - 1, done);
+            return insert(name, row, ifVersion, attemptsLeft - 1, done);
         }
         if (status == StoreStatus::Unknown) {
             // The row may be there. The call is not made, so that the row's end is `not-run`; it is written when the
@@ -129,47 +129,47 @@
             held[name] = {row, ifVersion + 1, false, false, {}};
             held[name].row.state = "not-run";
         }
-        done(KeyVerdict::Unavailable, {});
+        done(KeyDecision::Unavailable, {});
     });
 }
 
-void KeyedCalls::Private::readBack(const std::string &name, const KeyRow &mine, int triesLeft, const Done &done)
+void KeyedCalls::Private::readBack(const std::string &name, const KeyRow &mine, int attemptsLeft, const Done &done)
 {
-    store.readRow(callTable, name, [this, name, mine, triesLeft, done, weak = std::weak_ptr(alive)](StoreStatus status, const Row &row) {
+    store.readRow(callTable, name, [this, name, mine, attemptsLeft, done, weak = std::weak_ptr(alive)](StoreStatus status, const Row &row) {
         if (weak.expired()) {
             return;
         }
-        if (status == StoreStatus::NotFound && triesLeft > 1) {
-            return insert(name, mine, 0, triesLeft - 1, done);
+        if (status == StoreStatus::NotFound && attemptsLeft > 1) {
+            return insert(name, mine, 0, attemptsLeft - 1, done);
         }
         if (status != StoreStatus::Ok) {
-            return done(KeyVerdict::Unavailable, {});
+            return done(KeyDecision::Unavailable, {});
         }
-        judge(name, mine, row, done);
+        classifyRow(name, mine, row, done);
     });
 }
 
-void KeyedCalls::Private::judge(const std::string &name, const KeyRow &mine, const Row &row, const Done &done)
+void KeyedCalls::Private::classifyRow(const std::string &name, const KeyRow &mine, const Row &row, const Done &done)
 {
     KeyRow known;
     if (!decodeRow(row.value, known)) {
-        return done(KeyVerdict::Unavailable, {});
+        return done(KeyDecision::Unavailable, {});
     }
     if (known.writeId == mine.writeId && known.state == "started") {
         held[name] = {mine, row.version, true, false, {}};
-        return done(KeyVerdict::Run, {});
+        return done(KeyDecision::Run, {});
     }
     if (known.bodyDigest != mine.bodyDigest) {
-        return done(KeyVerdict::OtherBody, {});
+        return done(KeyDecision::RequestMismatch, {});
     }
     if (known.state == "answered") {
-        return done(KeyVerdict::Replay, known.answer);
+        return done(KeyDecision::Replay, known.answer);
     }
     if (known.state == "not-run") {
         return insert(name, mine, row.version, 1, done);
     }
     const bool mayStillRun = known.state == "started" && nowMs() < known.startedMs + known.deadlineMs + graceAfterDeadline.count();
-    done(mayStillRun ? KeyVerdict::InProgress : KeyVerdict::Unknown, {});
+    done(mayStillRun ? KeyDecision::InProgress : KeyDecision::Unknown, {});
 }
 
 // [SECTION] Ending
@@ -178,7 +178,7 @@
 {
     HeldKey &key = held[name];
     key.isWriting = true;
-    key.nextWrite = context.clock.now() + flushPause;
+    key.nextWrite = context.clock.now() + writeRetryInterval;
     const std::string value = encodeRow(key.row);
     store.transact({{callTable, name, value, key.version}}, [this, name, weak = std::weak_ptr(alive)](StoreStatus status) {
         const auto it = weak.expired() ? held.end() : held.find(name);
@@ -204,25 +204,25 @@
 
 KeyedCalls::~KeyedCalls() = default;
 
-void KeyedCalls::begin(const CallKey &key, std::function<void(KeyVerdict, const KeptAnswer &)> done)
+void KeyedCalls::begin(const CallKey &key, std::function<void(KeyDecision, const StoredResponse &)> done)
 {
     const std::string name = rowKey(key);
     const auto here = d->held.find(name);
     if (here != d->held.end()) {
         const HeldKey &known = here->second;
         if (known.row.bodyDigest != key.bodyDigest) {
-            return done(KeyVerdict::OtherBody, {});
+            return done(KeyDecision::RequestMismatch, {});
         }
         if (known.isRunning) {
-            return done(KeyVerdict::InProgress, {});
+            return done(KeyDecision::InProgress, {});
         }
         if (known.row.state == "answered") {
-            return done(KeyVerdict::Replay, known.row.answer);
+            return done(KeyDecision::Replay, known.row.answer);
         }
-        return done(known.row.state == "not-run" ? KeyVerdict::Unavailable : KeyVerdict::Unknown, {});
+        return done(known.row.state == "not-run" ? KeyDecision::Unavailable : KeyDecision::Unknown, {});
     }
-    if (d->held.size() >= maxUnwrittenEnds) {
-        return done(KeyVerdict::Unavailable, {});
+    if (d->held.size() >= maxHeldKeys) {
+        return done(KeyDecision::Unavailable, {});
     }
     KeyRow row;
     row.state = "started";
@@ -230,10 +230,10 @@
     row.writeId = randomHex();
     row.startedMs = d->nowMs();
     row.deadlineMs = key.deadline.count();
-    d->insert(name, std::move(row), 0, maxInsertTries, std::move(done));
+    d->insert(name, std::move(row), 0, maxInsertAttempts, std::move(done));
 }
 
-void KeyedCalls::finish(const CallKey &key, KeyEnd end, KeptAnswer answer)
+void KeyedCalls::finish(const CallKey &key, KeyOutcome outcome, StoredResponse answer)
 {
     const std::string name = rowKey(key);
     const auto it = d->held.find(name);
@@ -242,8 +242,8 @@
     }
     HeldKey &known = it->second;
     known.isRunning = false;
-    known.row.state = end == KeyEnd::Answered ? "answered" : end == KeyEnd::NotRun ? "not-run" : "unknown";
-    if (end == KeyEnd::Answered) {
+    known.row.state = outcome == KeyOutcome::Answered ? "answered" : outcome == KeyOutcome::NotRun ? "not-run" : "unknown";
+    if (outcome == KeyOutcome::Answered) {
         known.row.answer = std::move(answer);
     }
     d->write(name);
--- a/src/entry/keyed_calls.h
+++ b/src/entry/keyed_calls.h
@@ -22,24 +22,24 @@
 };
 
 /// An answer as it is kept.
-struct KeptAnswer {
+struct StoredResponse {
     int status = 0;      ///< HTTP status
     HttpHeaders headers; ///< as sent
     std::string body;    ///< whole
 };
 
 /// What is known of a key.
-enum class KeyVerdict {
-    Run,        ///< the key is this call's: make the call, then finish()
-    Replay,     ///< the first answer is known
-    OtherBody,  ///< the key was used for another call
-    InProgress, ///< the first call still runs
-    Unknown,    ///< the first call may have run and its answer is lost
-    Unavailable ///< the store can't say
+enum class KeyDecision {
+    Run,             ///< the key is this call's: make the call, then finish()
+    Replay,          ///< the first answer is known
+    RequestMismatch, ///< the key was used for another call
+    InProgress,      ///< the first call still runs
+    Unknown,         ///< the first call may have run and its answer is lost
+    Unavailable      ///< the store can't say
 };
 
 /// How a call with a key ended.
-enum class KeyEnd { Answered, NotRun, Unknown };
+enum class KeyOutcome { Answered, NotRun, Unknown };
 
 /// Keys of calls at this entry and in the store.
 class KeyedCalls
@@ -48,9 +48,9 @@
     KeyedCalls(EntryContext &context, Store &store);
     ~KeyedCalls();
 
-    void begin(const CallKey &key, std::function<void(KeyVerdict, const KeptAnswer &)> done);
+    void begin(const CallKey &key, std::function<void(KeyDecision, const StoredResponse &)> done);
     /// Ends a call that begin() told to run. The end is written until the store has taken it.
-    void finish(const CallKey &key, KeyEnd end, KeptAnswer answer);
+    void finish(const CallKey &key, KeyOutcome outcome, StoredResponse answer);
     /// Writes ends that the store has not taken yet. Called now and then.
     void flush();
 
@@ -62,7 +62,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t maxKeptBodyBytes = 64 << 10; ///< longer answers are not kept: a call sent again is told that it ran
-constexpr std::size_t maxUnwrittenEnds = 10000;    ///< beyond it, keyed calls are refused until the store takes some
+constexpr std::size_t maxStoredBodyBytes = 64 << 10; ///< longer answers are not kept: a call sent again is told that it ran
+constexpr std::size_t maxHeldKeys = 10000;           ///< beyond it, keyed calls are refused until the store takes some
 
 } // namespace Parsleytrail
--- a/src/entry/operator_api.cpp
+++ b/src/entry/operator_api.cpp
@@ -39,34 +39,34 @@
     return list;
 }
 
-static void replyApplied(const ExchangePtr &exchange, const ApplyResult &result, const char *end)
+static void replyApplied(const ExchangePtr &exchange, const ApplyResult &result, const char *resultText)
 {
-    const json body = {{"result", end}, {"version", result.version.value}, {"changes", toJson(result.differences)}};
+    const json body = {{"result", resultText}, {"version", result.version.value}, {"changes", toJson(result.differences)}};
     exchange->reply(200, {{"Content-Type", "application/json"}, {"ETag", quoted(result.version)}}, body.dump());
 }
 
 static void replyApply(const ExchangePtr &exchange, const ApplyResult &result)
 {
-    switch (result.end) {
-    case ApplyEnd::Accepted:
+    switch (result.outcome) {
+    case ApplyOutcome::Accepted:
         return replyApplied(exchange, result, "accepted");
-    case ApplyEnd::Unchanged:
+    case ApplyOutcome::Unchanged:
         return replyApplied(exchange, result, "unchanged");
-    case ApplyEnd::DryRun:
+    case ApplyOutcome::DryRun:
         return replyApplied(exchange, result, "dry-run");
-    case ApplyEnd::Invalid: {
+    case ApplyOutcome::Invalid: {
         json body = json::parse(problemBody({422, "Configuration has errors", "the file was not accepted"}));
         body["errors"] = toJson(result.problems);
         return exchange->reply(422, problemHeaders({422}), body.dump());
     }
-    case ApplyEnd::Conflict: {
+    case ApplyOutcome::Conflict: {
         json body = json::parse(problemBody({412, "Another version is in force", "look at what changed and apply again"}));
         body["version"] = result.version.value;
         return exchange->reply(412, problemHeaders({412}), body.dump());
     }
-    case ApplyEnd::Unavailable:
+    case ApplyOutcome::Unavailable:
         return replyProblem(exchange, {503, "", "the platform's store is away; the file was not accepted", Outcome::NotRun, 2});
-    case ApplyEnd::Unknown:
+    case ApplyOutcome::Unknown:
         return replyProblem(exchange,
                             {504, "", "the store's answers were lost: the file may be accepted yet; read the version before applying again", Outcome::Unknown});
     }
@@ -91,11 +91,11 @@
     return true;
 }
 
-static void serveConfiguration(const ExchangePtr &exchange, ConfigurationKeeper &keeper)
+static void serveConfiguration(const ExchangePtr &exchange, ConfigurationManager &configurationManager)
 {
     const HttpRequest &request = exchange->request();
     if (request.method == "GET") {
-        const Configuration &inForce = keeper.inForce();
+        const Configuration &inForce = configurationManager.inForce();
         return exchange->reply(200, {{"Content-Type", "text/plain; charset=utf-8"}, {"ETag", quoted(inForce.version)}}, configurationText(inForce));
     }
     std::optional<ConfigurationVersion> ifMatch;
@@ -106,19 +106,19 @@
         return replyProblem(exchange, {400, "", "expected If-Match with a version in quotes"});
     }
     const bool isDryRun = queryParameter(request.query, "dry-run").has_value();
-    keeper.apply(request.body, ifMatch, isDryRun, [exchange](const ApplyResult &result) {
+    configurationManager.apply(request.body, ifMatch, isDryRun, [exchange](const ApplyResult &result) {
         replyApply(exchange, result);
     });
 }
 
-static void serveHistory(const ExchangePtr &exchange, ConfigurationKeeper &keeper)
+static void serveHistory(const ExchangePtr &exchange, ConfigurationManager &configurationManager)
 {
     int limit = defaultHistoryLimit;
     const std::optional<std::string> wanted = queryParameter(exchange->request().query, "limit");
     if (wanted && (!parseNumber(*wanted, limit) || limit < 1 || limit > 1000)) {
         return replyProblem(exchange, {400, "", "expected limit from 1 to 1000"});
     }
-    keeper.history(limit, [exchange](StoreStatus status, const std::vector<HistoryEntry> &entries) {
+    configurationManager.history(limit, [exchange](StoreStatus status, const std::vector<HistoryEntry> &entries) {
         if (status != StoreStatus::Ok) {
             return replyProblem(exchange, {503, "", "the platform's store is away", Outcome::NotRun, 2});
         }
@@ -131,13 +131,13 @@
     });
 }
 
-void addConfigurationPaths(OperatorServer &server, ConfigurationKeeper &keeper)
+void addConfigurationPaths(OperatorServer &server, ConfigurationManager &configurationManager)
 {
-    server.addPath("/configuration", [&keeper](const ExchangePtr &exchange) {
-        serveConfiguration(exchange, keeper);
+    server.addPath("/configuration", [&configurationManager](const ExchangePtr &exchange) {
+        serveConfiguration(exchange, configurationManager);
     });
-    server.addPath("/configuration/history", [&keeper](const ExchangePtr &exchange) {
-        serveHistory(exchange, keeper);
+    server.addPath("/configuration/history", [&configurationManager](const ExchangePtr &exchange) {
+        serveHistory(exchange, configurationManager);
     });
 }
 
@@ -178,24 +178,25 @@
             {"cost", line.cost}};
 }
 
-static void serveReport(const ExchangePtr &exchange, WorkKeeper &work, const ConfigurationKeeper &keeper)
+static void serveReport(const ExchangePtr &exchange, UsageRecorder &usageRecorder, const ConfigurationManager &configurationManager)
 {
     const HttpRequest &request = exchange->request();
     std::int64_t from = 0;
     std::int64_t to = 0;
     UsageGrouping grouping = UsageGrouping::Workspace;
     const std::string by = queryParameter(request.query, "by").value_or("workspace");
-    const bool isRead = readHour(request, "from", work.currentHour() - 23, from) && readHour(request, "to", work.currentHour() + 1, to) && from < to;
+    const bool isRead =
+        readHour(request, "from", usageRecorder.currentHour() - 23, from) && readHour(request, "to", usageRecorder.currentHour() + 1, to) && from < to;
     if (!isRead || !parseGrouping(by, grouping)) {
         return replyProblem(exchange,
                             {400, "", "expected from and to as 2026-12-03 or 2026-12-03T14 (UTC, to after from), and by as workspace, service or model"});
     }
-    work.read(from, to, [exchange, grouping, by, from, to, &keeper](StoreStatus status, const UsageLedger &ledger) {
+    usageRecorder.read(from, to, [exchange, grouping, by, from, to, &configurationManager](StoreStatus status, const UsageLedger &ledger) {
         if (status != StoreStatus::Ok) {
             return replyProblem(exchange, {503, "", "the platform's store is away", Outcome::NotRun, 2});
         }
         std::map<std::string, double> prices;
-        for (const auto &[name, targetClass] : keeper.inForce().targetClasses) {
+        for (const auto &[name, targetClass] : configurationManager.inForce().targetClasses) {
             prices[targetClass.accelerator] = targetClass.pricePerHour;
         }
         json lines = json::array();
@@ -206,10 +207,10 @@
     });
 }
 
-void addReportPath(OperatorServer &server, WorkKeeper &work, const ConfigurationKeeper &keeper)
+void addReportPath(OperatorServer &server, UsageRecorder &usageRecorder, const ConfigurationManager &configurationManager)
 {
-    server.addPath("/report", [&work, &keeper](const ExchangePtr &exchange) {
-        serveReport(exchange, work, keeper);
+    server.addPath("/report", [&usageRecorder, &configurationManager](const ExchangePtr &exchange) {
+        serveReport(exchange, usageRecorder, configurationManager);
     });
 }
 
@@ -257,9 +258,9 @@
     return coverage;
 }
 
-json describeSystem(const EntryContext &context, const ConfigurationKeeper &keeper, const Peers &peers, const Targets &targets)
+json describeSystem(const EntryContext &context, const ConfigurationManager &configurationManager, const Peers &peers, const Targets &targets)
 {
-    const Configuration &inForce = keeper.inForce();
+    const Configuration &inForce = configurationManager.inForce();
     json entries = json::array();
     json stragglers = json::array();
     entries.push_back({{"id", context.settings.id},
@@ -269,9 +270,9 @@
     for (const auto &[id, view] : peers.views()) {
         entries.push_back({{"id", id.value},
                            {"dataCenter", view.last.dataCenter},
-                           {"state", view.isSilent ? "Silent" : toString(view.last.state)},
+                           {"state", view.isTimedOut ? "Silent" : toString(view.last.state)},
                            {"configuration", view.last.configuration.value}});
-        if (!view.isSilent && view.last.configuration < inForce.version) {
+        if (!view.isTimedOut && view.last.configuration < inForce.version) {
             stragglers.push_back(id.value);
         }
     }
@@ -283,7 +284,7 @@
             stragglers.push_back(view->last.target.value);
         }
     }
-    return {{"configuration", {{"version", inForce.version.value}, {"digest", inForce.digest}, {"isTrusted", keeper.isTrusted()}}},
+    return {{"configuration", {{"version", inForce.version.value}, {"digest", inForce.digest}, {"isTrusted", configurationManager.isTrusted()}}},
             {"entries", entries},
             {"targets", list},
             {"stragglers", stragglers},
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -14,21 +14,21 @@
     Datagrams &datagrams;
     std::vector<Address> seeds;
     std::function<void(EntryAnnouncement &)> describe;
-    std::function<void(const EntryAnnouncement &)> heard;
+    std::function<void(const EntryAnnouncement &)> announcementHandler;
     std::function<void(const std::vector<TargetId> &)> leaving;
     Address self;
     std::map<EntryId, PeerView> views;
-    std::vector<Address> listed; ///< entries on the platform's list
+    std::vector<Address> registeredEntries; ///< entries on the platform's list
     TimePoint nextPoll{};
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    std::vector<Address> picked() const;
+    std::vector<Address> selectPeers() const;
     EntryAnnouncement describeSelf() const;
-    void takeList(const std::vector<ListedInstance> &instances);
+    void handleMembership(const std::vector<ListedInstance> &instances);
 };
 
 /// The best of `candidates` for this entry by rendezvous hashing.
-static void appendPicked(const EntryContext &context, const std::vector<Address> &candidates, std::size_t count, std::vector<Address> &out)
+static void appendSelected(const EntryContext &context, const std::vector<Address> &candidates, std::size_t count, std::vector<Address> &out)
 {
     std::vector<std::string> names;
     names.reserve(candidates.size());
@@ -40,38 +40,38 @@
     }
 }
 
-std::vector<Address> Peers::Private::picked() const
+std::vector<Address> Peers::Private::selectPeers() const
 {
     std::vector<Address> near;
     std::vector<Address> far;
     std::set<Address> seen = {self};
     for (const auto &[id, view] : views) {
         const Address address{view.last.host, view.last.port};
-        if (!view.isSilent && seen.insert(address).second) {
+        if (!view.isTimedOut && seen.insert(address).second) {
             (view.last.dataCenter == context.settings.dataCenter ? near : far).push_back(address);
         }
     }
     // Entries not heard yet: where they stand is not known.
-    for (const std::vector<Address> *unheard : {&seeds, &listed}) {
-        for (const Address &address : *unheard) {
+    for (const std::vector<Address> *unannounced : {&seeds, &registeredEntries}) {
+        for (const Address &address : *unannounced) {
             if (seen.insert(address).second) {
                 far.push_back(address);
             }
         }
     }
     std::vector<Address> result;
-    appendPicked(context, near, peersInDataCenter, result);
-    appendPicked(context, far, peersOutside, result);
+    appendSelected(context, near, peersInDataCenter, result);
+    appendSelected(context, far, peersOutside, result);
     return result;
 }
 
-void Peers::Private::takeList(const std::vector<ListedInstance> &instances)
+void Peers::Private::handleMembership(const std::vector<ListedInstance> &instances)
 {
     std::vector<TargetId> leavingTargets;
-    listed.clear();
+    registeredEntries.clear();
     for (const ListedInstance &instance : instances) {
         if (instance.role == "entry" && !instance.isLeaving) {
-            listed.push_back(instance.address);
+            registeredEntries.push_back(instance.address);
         }
         if (instance.role == "sidecar" && instance.isLeaving) {
             leavingTargets.push_back({instance.id});
@@ -87,9 +87,9 @@
 
 Peers::~Peers() = default;
 
-void Peers::onHeard(std::function<void(const EntryAnnouncement &)> handler)
+void Peers::onAnnouncement(std::function<void(const EntryAnnouncement &)> handler)
 {
-    d->heard = std::move(handler);
+    d->announcementHandler = std::move(handler);
 }
 
 void Peers::onLeaving(std::function<void(const std::vector<TargetId> &)> handler)
@@ -97,10 +97,10 @@
     d->leaving = std::move(handler);
 }
 
-bool Peers::isNewcomer(const EntryAnnouncement &announcement) const
+bool Peers::isNewIncarnation(const EntryAnnouncement &announcement) const
 {
     const auto it = d->views.find(announcement.entry);
-    return it != d->views.end() && it->second.isNewcomer;
+    return it != d->views.end() && it->second.isNewIncarnation;
 }
 
 void Peers::start(const Address &self)
@@ -108,7 +108,7 @@
     d->self = self;
 }
 
-void Peers::take(const EntryAnnouncement &announcement)
+void Peers::handleAnnouncement(const EntryAnnouncement &announcement)
 {
     if (announcement.entry.value == d->context.settings.id) {
         return;
@@ -117,11 +117,11 @@
     if (announcement.incarnation < view.last.incarnation) {
         return;
     }
-    view.isNewcomer = announcement.incarnation != view.last.incarnation;
+    view.isNewIncarnation = announcement.incarnation != view.last.incarnation;
     view.last = announcement;
-    view.heardAt = d->context.clock.now();
-    view.isSilent = false;
-    d->heard(announcement);
+    view.lastReceivedAt = d->context.clock.now();
+    view.isTimedOut = false;
+    d->announcementHandler(announcement);
 }
 
 EntryAnnouncement Peers::Private::describeSelf() const
@@ -140,7 +140,7 @@
 void Peers::announce(const std::vector<Address> &sidecars)
 {
     const EntryAnnouncement announcement = d->describeSelf();
-    for (const Address &peer : d->picked()) {
+    for (const Address &peer : d->selectPeers()) {
         d->datagrams.send(peer, announcement);
     }
     for (const Address &sidecar : sidecars) {
@@ -153,27 +153,27 @@
     d->datagrams.send(address, d->describeSelf());
 }
 
-void Peers::tick(milliseconds stall)
+void Peers::tick(milliseconds processPause)
 {
     const TimePoint now = d->context.clock.now();
     for (auto &[id, view] : d->views) {
-        view.heardAt = creditProcessPause(view.heardAt, stall, now);
-        view.isSilent = now - view.heardAt >= d->context.settings.silenceTimeout;
+        view.lastReceivedAt = creditProcessPause(view.lastReceivedAt, processPause, now);
+        view.isTimedOut = now - view.lastReceivedAt >= d->context.settings.silenceTimeout;
     }
     if (now < d->nextPoll) {
         return;
     }
-    d->nextPoll = now + listPollInterval;
+    d->nextPoll = now + membershipPollInterval;
     d->store.readMembership([this, weak = std::weak_ptr(d->alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
         if (!weak.expired() && status == StoreStatus::Ok) {
-            d->takeList(instances);
+            d->handleMembership(instances);
         }
     });
 }
 
 std::vector<Address> Peers::fanOut() const
 {
-    return d->picked();
+    return d->selectPeers();
 }
 
 const std::map<EntryId, PeerView> &Peers::views() const
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -15,34 +15,34 @@
 
 // [SECTION] State
 
-constexpr std::size_t bodyPartBytes = 32 << 10; ///< bytes of a body in one frame
-constexpr std::uint32_t maxTargetsTried = 3;    ///< for one call
-constexpr milliseconds deadlineMargin{500};     ///< the sidecar's own deadline comes first, and tells more
+constexpr std::size_t bodyFrameBytes = 32 << 10; ///< bytes of a body in one frame
+constexpr std::uint32_t maxTargetsPerCall = 3;   ///< for one call
+constexpr milliseconds deadlineMargin{500};      ///< the sidecar's own deadline comes first, and tells more
 
 namespace
 {
 
 /// An open call.
 struct OpenCall {
-    RequestId id;                 ///< unique in the system
-    ExchangePtr exchange;         ///< the caller
-    Caller caller;                ///< section is not valid any more
-    WorkOwner owner;              ///< whose work it is
-    ServiceName service;          ///< called
-    std::string path;             ///< below the service, with query
-    milliseconds deadline{0};     ///< longest time
-    TimePoint openedAt{};         ///< request taken
-    bool isNonIdempotent = false; ///< marked by the file or by a key
-    bool mayRepeat = false;       ///< may be handed over a second time
-    TargetId target;              ///< current; empty between targets
-    std::string address;          ///< of its sidecar
-    std::uint32_t tried = 0;      ///< targets so far
-    std::set<TargetId> excluded;  ///< targets tried
-    bool hasHead = false;         ///< the answer has begun
-    std::size_t uncredited = 0;   ///< answer bytes that the caller has not taken
-    std::optional<CallKey> key;   ///< Idempotency-Key
-    KeptAnswer kept;              ///< answer so far, for the key
-    bool isTooLongToKeep = false; ///< the answer is over maxKeptBodyBytes
+    RequestId id;                  ///< unique in the system
+    ExchangePtr exchange;          ///< the caller
+    Caller caller;                 ///< section is not valid any more
+    UsageOwner owner;              ///< whose work it is
+    ServiceName service;           ///< called
+    std::string path;              ///< below the service, with query
+    milliseconds deadline{0};      ///< longest time
+    TimePoint openedAt{};          ///< request taken
+    bool isNonIdempotent = false;  ///< marked by the file or by a key
+    bool mayRetry = false;         ///< may be handed over a second time
+    TargetId target;               ///< current; empty between targets
+    std::string address;           ///< of its sidecar
+    std::uint32_t tried = 0;       ///< targets so far
+    std::set<TargetId> excluded;   ///< targets tried
+    bool hasHead = false;          ///< the answer has begun
+    std::size_t uncredited = 0;    ///< answer bytes that the caller has not taken
+    std::optional<CallKey> key;    ///< Idempotency-Key
+    StoredResponse storedResponse; ///< answer so far, for the key
+    bool isTooLongToStore = false; ///< the answer is over maxKeptBodyBytes
 };
 
 bool isIdempotentMethod(const std::string &method)
@@ -51,7 +51,7 @@
 }
 
 /// Headers that are the router's own business, or that would tell the application the caller's key.
-bool isPassedOn(const std::string &name)
+bool isForwardedHeader(const std::string &name)
 {
     return !isHopByHop(name) && !equalsIgnoringCase(name, "Host") && !equalsIgnoringCase(name, "Authorization") && !equalsIgnoringCase(name, "X-Request-Id")
            && !equalsIgnoringCase(name, "Expect");
@@ -63,13 +63,13 @@
     EntryContext &context;
     Targets &targets;
     KeyedCalls &keys;
-    WorkKeeper &work;
+    UsageRecorder &usageRecorder;
     std::unordered_map<RequestId, OpenCall> calls;
     std::map<WorkspaceName, std::size_t> openByWorkspace;
     std::uint64_t &answered;
     std::uint64_t &notRun;
     std::uint64_t &unknown;
-    TimeHistogram &times;
+    TimeHistogram &durations;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     OpenCall *find(const RequestId &request);
@@ -77,22 +77,22 @@
     void open(OpenCall call);
     void send(const RequestId &request);
     void sendTo(OpenCall &call, const LinkPtr &link);
-    void leaveTarget(OpenCall &call);
+    void releaseTarget(OpenCall &call);
     void erase(const RequestId &request);
 
     void refuse(const RequestId &request, Problem problem);
-    void failed(const RequestId &request, Outcome outcome, const Error &error);
-    void answerEnded(const RequestId &request);
-    void abandoned(const RequestId &request);
+    void handleFailure(const RequestId &request, Outcome outcome, const Error &error);
+    void finishResponse(const RequestId &request);
+    void handleDisconnect(const RequestId &request);
     void cancelAtTarget(const OpenCall &call);
 
-    void takeHead(const CallHead &head);
-    void takeBody(const CallBody &body);
-    void giveCredit(const RequestId &request);
+    void handleHead(const CallHead &head);
+    void handleBody(const CallBody &body);
+    void sendCredit(const RequestId &request);
 
     void beginKeyed(OpenCall call);
-    void endKey(OpenCall &call, KeyEnd end);
-    void answerKeyed(OpenCall call, KeyVerdict verdict, const KeptAnswer &answer);
+    void finishKey(OpenCall &call, KeyOutcome keyOutcome);
+    void handleKeyDecision(OpenCall call, KeyDecision verdict, const StoredResponse &answer);
 };
 
 OpenCall *ServiceCalls::Private::find(const RequestId &request)
@@ -143,7 +143,7 @@
     head.method = request.method;
     head.path = call.path;
     for (const HttpHeader &header : request.headers) {
-        if (isPassedOn(header.name)) {
+        if (isForwardedHeader(header.name)) {
             head.headers.push_back({header.name, header.value});
         }
     }
@@ -152,18 +152,18 @@
     head.nonIdempotent = call.isNonIdempotent;
     head.deadlineMs = static_cast<std::uint32_t>(call.deadline.count());
     link->send(head);
-    std::string_view rest = request.body;
-    while (rest.size() > bodyPartBytes) {
-        link->send(CallBody{call.id, std::string(rest.substr(0, bodyPartBytes)), false});
-        rest.remove_prefix(bodyPartBytes);
+    std::string_view remainder = request.body;
+    while (remainder.size() > bodyFrameBytes) {
+        link->send(CallBody{call.id, std::string(remainder.substr(0, bodyFrameBytes)), false});
+        remainder.remove_prefix(bodyFrameBytes);
     }
-    link->send(CallBody{call.id, std::string(rest), true});
+    link->send(CallBody{call.id, std::string(remainder), true});
 }
 
 void ServiceCalls::Private::send(const RequestId &request)
 {
     OpenCall &call = *find(request);
-    const TargetView *target = call.tried < maxTargetsTried ? chooseTarget(call) : nullptr;
+    const TargetView *target = call.tried < maxTargetsPerCall ? chooseTarget(call) : nullptr;
     if (!target) {
         return refuse(request, {503, "", "no target of service " + call.service.value + " takes calls", Outcome::NotRun, 1});
     }
@@ -172,7 +172,7 @@
     call.target = target->last.target;
     call.address = link->peerName();
     call.excluded.insert(call.target);
-    targets.noteOpened(call.target);
+    targets.recordOpened(call.target);
     if (context.history.isOn()) {
         context.history.record("call-sent",
                                {{"request", request.value}, {"target", call.target.value}, {"nonIdempotent", std::uint64_t{call.isNonIdempotent ? 1u : 0u}}});
@@ -180,10 +180,10 @@
     sendTo(call, link);
 }
 
-void ServiceCalls::Private::leaveTarget(OpenCall &call)
+void ServiceCalls::Private::releaseTarget(OpenCall &call)
 {
     if (!call.target.isEmpty()) {
-        targets.noteClosed(call.target);
+        targets.recordClosed(call.target);
     }
     call.target = {};
     call.address.clear();
@@ -195,7 +195,7 @@
     ++openByWorkspace[call.caller.workspace];
     call.exchange->onClosed([this, id, weak = std::weak_ptr(alive)] {
         if (!weak.expired()) {
-            abandoned(id);
+            handleDisconnect(id);
         }
     });
     calls[id] = std::move(call);
@@ -208,10 +208,10 @@
 void ServiceCalls::Private::refuse(const RequestId &request, Problem problem)
 {
     OpenCall &call = *find(request);
-    leaveTarget(call);
-    endKey(call, problem.outcome == Outcome::NotRun ? KeyEnd::NotRun : KeyEnd::Unknown);
+    releaseTarget(call);
+    finishKey(call, problem.outcome == Outcome::NotRun ? KeyOutcome::NotRun : KeyOutcome::Unknown);
     ++(problem.outcome == Outcome::NotRun ? notRun : unknown);
-    problem.outcome == Outcome::NotRun ? work.countRefused(call.owner) : work.countUnknown(call.owner, 0);
+    problem.outcome == Outcome::NotRun ? usageRecorder.countRefused(call.owner) : usageRecorder.countUnknown(call.owner, 0);
     logEvent(Event::CallFailed,
              {{"request", request.value}, {"service", call.service.value}, {"outcome", outcomeText(problem.outcome)}, {"reason", problem.detail}});
     if (context.history.isOn()) {
@@ -234,27 +234,27 @@
 }
 
 /// The current target will not answer (in full).
-void ServiceCalls::Private::failed(const RequestId &request, Outcome outcome, const Error &error)
+void ServiceCalls::Private::handleFailure(const RequestId &request, Outcome outcome, const Error &error)
 {
     OpenCall *call = find(request);
     if (!call) {
         return;
     }
     if (outcome == Outcome::Unknown) {
-        targets.noteFailure(call->target);
+        targets.recordFailure(call->target);
     }
-    leaveTarget(*call);
+    releaseTarget(*call);
     if (call->hasHead) {
         // Status and part of the body are out: a broken connection is the only way left to say that it is not whole.
         const ExchangePtr exchange = call->exchange;
-        endKey(*call, KeyEnd::Unknown);
+        finishKey(*call, KeyOutcome::Unknown);
         ++unknown;
-        work.countUnknown(call->owner, 0);
+        usageRecorder.countUnknown(call->owner, 0);
         erase(request);
         return exchange->abort();
     }
-    const bool isSafe = outcome == Outcome::NotRun || call->mayRepeat;
-    if (isSafe && call->tried < maxTargetsTried && tryConsumeRetry(context.retries) && chooseTarget(*call)) {
+    const bool isSafe = outcome == Outcome::NotRun || call->mayRetry;
+    if (isSafe && call->tried < maxTargetsPerCall && tryConsumeRetry(context.retries) && chooseTarget(*call)) {
         return send(request);
     }
     if (outcome == Outcome::NotRun) {
@@ -263,15 +263,15 @@
     refuse(request, {502, "", error.toString(), Outcome::Unknown});
 }
 
-void ServiceCalls::Private::answerEnded(const RequestId &request)
+void ServiceCalls::Private::finishResponse(const RequestId &request)
 {
     OpenCall &call = *find(request);
     ++answered;
-    work.countAnswered(call.owner, 0, 0);
-    times.record(std::chrono::duration<double>(context.clock.now() - call.openedAt).count());
-    targets.noteSuccess(call.target);
-    leaveTarget(call);
-    endKey(call, call.isTooLongToKeep ? KeyEnd::Unknown : KeyEnd::Answered);
+    usageRecorder.countAnswered(call.owner, 0, 0);
+    durations.record(std::chrono::duration<double>(context.clock.now() - call.openedAt).count());
+    targets.recordSuccess(call.target);
+    releaseTarget(call);
+    finishKey(call, call.isTooLongToStore ? KeyOutcome::Unknown : KeyOutcome::Answered);
     if (context.history.isOn()) {
         context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.shownId}, {"outcome", "answered"}});
     }
@@ -280,7 +280,7 @@
     exchange->endStream();
 }
 
-void ServiceCalls::Private::abandoned(const RequestId &request)
+void ServiceCalls::Private::handleDisconnect(const RequestId &request)
 {
     OpenCall *call = find(request);
     if (!call) {
@@ -292,14 +292,14 @@
         return;
     }
     cancelAtTarget(*call);
-    leaveTarget(*call);
-    work.countUnknown(call->owner, 0);
+    releaseTarget(*call);
+    usageRecorder.countUnknown(call->owner, 0);
     erase(request);
 }
 
 // [SECTION] Frames
 
-void ServiceCalls::Private::takeHead(const CallHead &head)
+void ServiceCalls::Private::handleHead(const CallHead &head)
 {
     OpenCall *call = find(head.request);
     if (!call || call->hasHead) {
@@ -314,17 +314,17 @@
     if (findHeader(headers, "X-Request-Id").empty()) {
         headers.push_back({"X-Request-Id", call->caller.shownId});
     }
-    call->kept.status = static_cast<int>(head.status);
-    call->kept.headers = headers;
-    call->exchange->beginStream(call->kept.status, headers);
+    call->storedResponse.status = static_cast<int>(head.status);
+    call->storedResponse.headers = headers;
+    call->exchange->beginStream(call->storedResponse.status, headers);
     call->exchange->onDrained([this, id = head.request, weak = std::weak_ptr(alive)] {
         if (!weak.expired()) {
-            giveCredit(id);
+            sendCredit(id);
         }
     });
 }
 
-void ServiceCalls::Private::giveCredit(const RequestId &request)
+void ServiceCalls::Private::sendCredit(const RequestId &request)
 {
     OpenCall *call = find(request);
     if (!call || call->uncredited == 0 || call->target.isEmpty()) {
@@ -336,7 +336,7 @@
     call->uncredited = 0;
 }
 
-void ServiceCalls::Private::takeBody(const CallBody &body)
+void ServiceCalls::Private::handleBody(const CallBody &body)
 {
     OpenCall *call = find(body.request);
     if (!call || !call->hasHead) {
@@ -345,47 +345,47 @@
     call->exchange->pushChunk(body.data);
     call->uncredited += body.data.size();
     if (!call->exchange->isOpen()) {
-        giveCredit(body.request); // the caller is gone and the key's answer is still wanted
+        sendCredit(body.request); // the caller is gone and the key's answer is still wanted
     }
-    if (call->key && !call->isTooLongToKeep) {
-        call->kept.body += body.data;
-        call->isTooLongToKeep = call->kept.body.size() > maxKeptBodyBytes;
+    if (call->key && !call->isTooLongToStore) {
+        call->storedResponse.body += body.data;
+        call->isTooLongToStore = call->storedResponse.body.size() > maxStoredBodyBytes;
     }
     if (body.last) {
-        answerEnded(body.request);
+        finishResponse(body.request);
     }
 }
 
 // [SECTION] Keys
 
-void ServiceCalls::Private::endKey(OpenCall &call, KeyEnd end)
+void ServiceCalls::Private::finishKey(OpenCall &call, KeyOutcome keyOutcome)
 {
     if (call.key) {
-        keys.finish(*call.key, end, std::move(call.kept));
+        keys.finish(*call.key, keyOutcome, std::move(call.storedResponse));
         call.key.reset();
     }
 }
 
-void ServiceCalls::Private::answerKeyed(OpenCall call, KeyVerdict verdict, const KeptAnswer &answer)
+void ServiceCalls::Private::handleKeyDecision(OpenCall call, KeyDecision verdict, const StoredResponse &answer)
 {
     const auto refuseWith = [&](Problem problem) {
         replyProblem(call.exchange, problem, {{"X-Request-Id", call.caller.shownId}});
     };
     switch (verdict) {
-    case KeyVerdict::Run:
+    case KeyDecision::Run:
         return open(std::move(call));
-    case KeyVerdict::Replay: {
+    case KeyDecision::Replay: {
         HttpHeaders headers = answer.headers;
         headers.push_back({"Idempotency-Replayed", "true"});
         return call.exchange->reply(answer.status, headers, answer.body);
     }
-    case KeyVerdict::OtherBody:
+    case KeyDecision::RequestMismatch:
         return refuseWith({422, "Idempotency-Key is already used", "the key was sent before with another method, path or body", Outcome::NotRun});
-    case KeyVerdict::InProgress:
+    case KeyDecision::InProgress:
         return refuseWith({409, "A request is outstanding for this Idempotency-Key", "the first call with this key still runs", Outcome::Unknown, 1});
-    case KeyVerdict::Unknown:
+    case KeyDecision::Unknown:
         return refuseWith({502, "", "the first call with this key may have been run; its answer is not known, or too long to be kept", Outcome::Unknown});
-    case KeyVerdict::Unavailable:
+    case KeyDecision::Unavailable:
         // This call is not handed over, but an earlier one with the key may have run: told not-run, its caller would take it
         // that nothing was done.
         ++unknown;
@@ -397,20 +397,20 @@
 {
     const CallKey key = *call.key;
     const auto shared = std::make_shared<OpenCall>(std::move(call));
-    keys.begin(key, [this, shared, weak = std::weak_ptr(alive)](KeyVerdict verdict, const KeptAnswer &answer) {
+    keys.begin(key, [this, shared, weak = std::weak_ptr(alive)](KeyDecision verdict, const StoredResponse &answer) {
         if (!weak.expired()) {
-            answerKeyed(std::move(*shared), verdict, answer);
+            handleKeyDecision(std::move(*shared), verdict, answer);
         }
     });
 }
 
 // [SECTION] ServiceCalls
 
-ServiceCalls::ServiceCalls(EntryContext &context, Targets &targets, KeyedCalls &keys, WorkKeeper &work)
+ServiceCalls::ServiceCalls(EntryContext &context, Targets &targets, KeyedCalls &keys, UsageRecorder &usageRecorder)
     : d(new Private{context,
                     targets,
                     keys,
-                    work,
+                    usageRecorder,
                     {},
                     {},
                     context.metrics.counter("parsley_calls_answered", "Calls to plain services answered in full."),
@@ -451,7 +451,7 @@
     call.openedAt = d->context.clock.now();
     const std::string key = findHeader(request.headers, "Idempotency-Key");
     call.isNonIdempotent = !key.empty() || isNonIdempotent(section->second, request.method, path);
-    call.mayRepeat = !call.isNonIdempotent && isIdempotentMethod(request.method);
+    call.mayRetry = !call.isNonIdempotent && isIdempotentMethod(request.method);
     if (key.empty()) {
         return d->open(std::move(call));
     }
@@ -459,27 +459,27 @@
     d->beginKeyed(std::move(call));
 }
 
-bool ServiceCalls::takeFrame(const Frame &frame)
+bool ServiceCalls::handleFrame(const Frame &frame)
 {
     switch (frame.message) {
     case CallHead::messageId:
         return decodeAnd<CallHead>(frame, [&](const CallHead &message) {
-            d->takeHead(message);
+            d->handleHead(message);
         });
     case CallBody::messageId:
         return decodeAnd<CallBody>(frame, [&](const CallBody &message) {
-            d->takeBody(message);
+            d->handleBody(message);
         });
     case CallFailed::messageId:
         return decodeAnd<CallFailed>(frame, [&](const CallFailed &message) {
-            d->failed(message.request, message.outcome, {message.step, "", message.text});
+            d->handleFailure(message.request, message.outcome, {message.step, "", message.text});
         });
     default:
         return false;
     }
 }
 
-void ServiceCalls::linkGone(const std::string &address, const Error &error)
+void ServiceCalls::handleLinkLost(const std::string &address, const Error &error)
 {
     std::vector<RequestId> lost;
     for (const auto &[request, call] : d->calls) {
@@ -489,7 +489,7 @@
     }
     // Frames may have reached the sidecar before the link broke, even if it never answered.
     for (const RequestId &request : lost) {
-        d->failed(request, Outcome::Unknown, error);
+        d->handleFailure(request, Outcome::Unknown, error);
     }
 }
 
@@ -506,7 +506,7 @@
         OpenCall *call = d->find(request);
         d->cancelAtTarget(*call);
         if (call->hasHead) {
-            d->failed(request, Outcome::Run, {"answer in time", call->target.value, "the deadline passed"});
+            d->handleFailure(request, Outcome::Run, {"answer in time", call->target.value, "the deadline passed"});
         } else {
             d->refuse(request, {504, "", "the deadline passed before the target answered", Outcome::Unknown});
         }
--- a/src/entry/service_calls.h
+++ b/src/entry/service_calls.h
@@ -15,16 +15,16 @@
 class ServiceCalls
 {
 public:
-    ServiceCalls(EntryContext &context, Targets &targets, KeyedCalls &keys, WorkKeeper &work);
+    ServiceCalls(EntryContext &context, Targets &targets, KeyedCalls &keys, UsageRecorder &usageRecorder);
     ~ServiceCalls();
 
     /// `service` is the name in the path; `path` is what follows it, with a leading slash.
     void serve(const ExchangePtr &exchange, const Caller &caller, const std::string &service, const std::string &path, const Configuration &configuration);
 
     /// Takes a frame that belongs to calls; false if it is malformed.
-    bool takeFrame(const Frame &frame);
+    bool handleFrame(const Frame &frame);
     /// The link to an address is gone.
-    void linkGone(const std::string &address, const Error &error);
+    void handleLinkLost(const std::string &address, const Error &error);
     /// Ends calls that are late. Called every few tens of milliseconds.
     void tick();
 
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -184,7 +184,7 @@
         });
         if (isNew) {
             stream.opened.push_back(stage);
-            targets.noteOpened(stage.target);
+            targets.recordOpened(stage.target);
         }
     }
     if (context.history.isOn()) {
@@ -232,7 +232,7 @@
     stream.idleQueries = 0;
     stream.excluded.insert(lost.target);
     if (isTargetsFault) {
-        targets.noteFailure(lost.target);
+        targets.recordFailure(lost.target);
     }
     if (stream.failedAt == TimePoint{}) {
         stream.failedAt = stream.progressAt;
@@ -259,7 +259,7 @@
 
 void Streams::Private::closeStage(const OpenStream &stream, const StageAddress &stage)
 {
-    targets.noteClosed(stage.target);
+    targets.recordClosed(stage.target);
     const LinkPtr link = context.links.find(addressOf(stage));
     if (link) {
         link->send(CloseStream{stream.request.id, stream.attempt});
@@ -291,7 +291,7 @@
 {
     closeStages(stream);
     for (const StageAddress &stage : stream.chain) {
-        targets.noteSuccess(stage.target);
+        targets.recordSuccess(stage.target);
     }
     const auto handlers = stream.handlers;
     streams.erase(stream.request.id);
@@ -381,7 +381,7 @@
         return true;
     }
     if (frame.stageIndex < stream.chain.size()) {
-        targets.noteFailure(stream.chain[frame.stageIndex].target);
+        targets.recordFailure(stream.chain[frame.stageIndex].target);
     }
     refuseConvicted(stream, {frame.step, frame.peer, ""});
     return false;
--- a/src/entry/targets.cpp
+++ b/src/entry/targets.cpp
@@ -14,25 +14,25 @@
 {
 
 /// A target with what only the entry's table needs.
-struct KnownTarget {
+struct TargetRecord {
     TargetView view;
-    TimePoint pushedAt{};  ///< last push of configuration
-    TimeEstimate gapTimes; ///< between two times that it was heard
+    TimePoint configurationPushedAt{}; ///< last push of configuration
+    TimeEstimate receiveIntervals;     ///< between two times that it was heard
 };
 
 } // namespace
 
 struct Targets::Private {
     EntryContext &context;
-    std::map<TargetId, KnownTarget> targets;
+    std::map<TargetId, TargetRecord> targets;
     std::unordered_map<std::uint64_t, TargetId> targetOfKey; ///< by the key of load reports
-    std::function<void(const TargetId &)> gone;
+    std::function<void(const TargetId &)> lost;
     std::function<void()> usable;
-    std::function<void(const LinkPtr &, ConfigurationVersion)> oldConfiguration;
+    std::function<void(const LinkPtr &, ConfigurationVersion)> outdatedConfiguration;
 
-    void heard(KnownTarget &target);
-    void join(KnownTarget &target, const Announcement &announcement);
-    void pushIfOld(KnownTarget &target, ConfigurationVersion inForce);
+    void recordReceived(TargetRecord &target);
+    void handleNewIncarnation(TargetRecord &target, const Announcement &announcement);
+    void pushConfigurationIfOutdated(TargetRecord &target, ConfigurationVersion inForce);
 };
 
 static Address addressOf(const Announcement &announcement)
@@ -47,9 +47,9 @@
 
 Targets::~Targets() = default;
 
-void Targets::onGone(std::function<void(const TargetId &)> handler)
+void Targets::onLost(std::function<void(const TargetId &)> handler)
 {
-    d->gone = std::move(handler);
+    d->lost = std::move(handler);
 }
 
 void Targets::onUsable(std::function<void()> handler)
@@ -57,76 +57,76 @@
     d->usable = std::move(handler);
 }
 
-void Targets::onOldConfiguration(std::function<void(const LinkPtr &, ConfigurationVersion)> handler)
+void Targets::onOutdatedConfiguration(std::function<void(const LinkPtr &, ConfigurationVersion)> handler)
 {
-    d->oldConfiguration = std::move(handler);
+    d->outdatedConfiguration = std::move(handler);
 }
 
-void Targets::Private::join(KnownTarget &target, const Announcement &announcement)
+void Targets::Private::handleNewIncarnation(TargetRecord &target, const Announcement &announcement)
 {
     const bool isRestart = target.view.last.incarnation != Incarnation{};
     targetOfKey.erase(targetKeyOf(announcement.target, target.view.last.incarnation));
     targetOfKey[targetKeyOf(announcement.target, announcement.incarnation)] = announcement.target;
-    const std::uint32_t openHere = target.view.localOpenCount;
+    const std::uint32_t openCount = target.view.localOpenCount;
     target.view = TargetView{};
-    target.view.localOpenCount = openHere;
+    target.view.localOpenCount = openCount;
     target.view.joinedAt = context.clock.now();
     logEvent(Event::TargetJoined, {{"target", announcement.target.value},
                                    {"address", addressOf(announcement).toString()},
                                    {"dataCenter", announcement.dataCenter},
                                    {"layers", std::to_string(announcement.layerBegin) + "-" + std::to_string(announcement.layerEnd)}});
     if (isRestart) {
-        gone(announcement.target);
+        lost(announcement.target);
     }
 }
 
-void Targets::Private::pushIfOld(KnownTarget &target, ConfigurationVersion inForce)
+void Targets::Private::pushConfigurationIfOutdated(TargetRecord &target, ConfigurationVersion inForce)
 {
     const TimePoint now = context.clock.now();
-    const bool isDue = target.pushedAt == TimePoint{} || now - target.pushedAt >= configurationPushInterval;
+    const bool isDue = target.configurationPushedAt == TimePoint{} || now - target.configurationPushedAt >= configurationPushInterval;
     if (target.view.last.configuration >= inForce || !isDue) {
         return;
     }
-    target.pushedAt = now;
-    oldConfiguration(context.links.link(addressOf(target.view.last)), target.view.last.configuration);
+    target.configurationPushedAt = now;
+    outdatedConfiguration(context.links.link(addressOf(target.view.last)), target.view.last.configuration);
 }
 
-void Targets::take(const Announcement &announcement, ConfigurationVersion inForce)
+void Targets::handleAnnouncement(const Announcement &announcement, ConfigurationVersion inForce)
 {
     if (announcement.region != d->context.settings.region) {
         return;
     }
-    KnownTarget &target = d->targets[announcement.target];
+    TargetRecord &target = d->targets[announcement.target];
     const bool isOld = announcement.incarnation < target.view.last.incarnation
                        || (announcement.incarnation == target.view.last.incarnation && announcement.sequence <= target.view.last.sequence);
     if (isOld) {
         return; // UDP may reorder and repeat
     }
     if (announcement.incarnation > target.view.last.incarnation) {
-        d->join(target, announcement);
+        d->handleNewIncarnation(target, announcement);
     }
     const TargetState before = target.view.last.state;
     const bool wasUsable = acceptsNewWork(target.view, d->context.clock.now());
     target.view.last = announcement;
-    d->heard(target);
+    d->recordReceived(target);
     if (announcement.state == TargetState::Draining && before != TargetState::Draining) {
         logEvent(Event::TargetDraining, {{"target", announcement.target.value}});
     }
     if (announcement.state == TargetState::Joining && before == TargetState::Ready) {
-        d->gone(announcement.target); // its engine does not answer any more
+        d->lost(announcement.target); // its engine does not answer any more
     }
     d->context.links.link(addressOf(announcement));
-    d->pushIfOld(target, inForce);
+    d->pushConfigurationIfOutdated(target, inForce);
     if (!wasUsable && acceptsNewWork(target.view, d->context.clock.now())) {
         d->usable();
     }
 }
 
-void Targets::Private::heard(KnownTarget &target)
+void Targets::Private::recordReceived(TargetRecord &target)
 {
     const TimePoint now = context.clock.now();
     if (target.view.lastReceivedAt != TimePoint{}) {
-        recordTime(target.gapTimes, std::chrono::duration<double>(now - target.view.lastReceivedAt).count());
+        recordTime(target.receiveIntervals, std::chrono::duration<double>(now - target.view.lastReceivedAt).count());
     }
     target.view.lastReceivedAt = now;
     if (target.view.isTimedOut) {
@@ -135,7 +135,7 @@
     }
 }
 
-bool Targets::take(const LoadReport &report)
+bool Targets::handleLoadReport(const LoadReport &report)
 {
     const auto key = d->targetOfKey.find(report.targetKey);
     const auto it = key == d->targetOfKey.end() ? d->targets.end() : d->targets.find(key->second);
@@ -145,17 +145,17 @@
     if (report.sequence <= it->second.view.last.sequence) {
         return true;
     }
-    KnownTarget &target = it->second;
+    TargetRecord &target = it->second;
     Announcement &last = target.view.last;
     last.sequence = report.sequence;
     last.streams = report.streams;
     last.queued = report.queued;
     last.stepMicros = report.stepMicros;
     last.kvUsed = report.kvUsed;
-    const bool wasSilent = target.view.isTimedOut;
-    d->heard(target);
+    const bool wasTimedOut = target.view.isTimedOut;
+    d->recordReceived(target);
     d->context.links.link(addressOf(last));
-    if (wasSilent) {
+    if (wasTimedOut) {
         d->usable();
     }
     return true;
@@ -168,7 +168,7 @@
     }
 }
 
-void Targets::linkGone(const std::string &address)
+void Targets::handleLinkLost(const std::string &address)
 {
     for (auto &[id, target] : d->targets) {
         if (addressOf(target.view.last).toString() == address) {
@@ -178,24 +178,24 @@
     }
 }
 
-void Targets::tick(milliseconds stall)
+void Targets::tick(milliseconds processPause)
 {
     const TimePoint now = d->context.clock.now();
     for (auto &[id, target] : d->targets) {
-        target.view.lastReceivedAt = creditProcessPause(target.view.lastReceivedAt, stall, now);
+        target.view.lastReceivedAt = creditProcessPause(target.view.lastReceivedAt, processPause, now);
         if (!target.view.isTimedOut && now - target.view.lastReceivedAt >= d->context.settings.silenceTimeout) {
             target.view.isTimedOut = true;
             logEvent(Event::TargetSilent, {{"target", id.value}});
-            d->gone(id);
+            d->lost(id);
         }
     }
     std::erase_if(d->targets, [this, now](const auto &item) {
         const TargetView &view = item.second.view;
-        const bool isForgotten = now - view.lastReceivedAt >= forgetAfter && view.localOpenCount == 0;
-        if (isForgotten) {
+        const bool isExpired = now - view.lastReceivedAt >= removeTargetAfter && view.localOpenCount == 0;
+        if (isExpired) {
             d->targetOfKey.erase(targetKeyOf(item.first, view.last.incarnation));
         }
-        return isForgotten;
+        return isExpired;
     });
 }
 
@@ -222,8 +222,9 @@
         return true;
     }
     const EntrySettings &settings = d->context.settings;
-    const milliseconds usual = adaptiveTimeout(it->second.gapTimes, std::min(settings.progressTimeout, settings.silenceTimeout), settings.silenceTimeout);
-    return d->context.clock.now() - it->second.view.lastReceivedAt >= usual;
+    const milliseconds timeout =
+        adaptiveTimeout(it->second.receiveIntervals, std::min(settings.progressTimeout, settings.silenceTimeout), settings.silenceTimeout);
+    return d->context.clock.now() - it->second.view.lastReceivedAt >= timeout;
 }
 
 LinkPtr Targets::link(const TargetId &target)
@@ -232,14 +233,14 @@
     return view ? d->context.links.link(addressOf(view->last)) : nullptr;
 }
 
-void Targets::noteOpened(const TargetId &target)
+void Targets::recordOpened(const TargetId &target)
 {
     if (const auto it = d->targets.find(target); it != d->targets.end()) {
         ++it->second.view.localOpenCount;
     }
 }
 
-void Targets::noteClosed(const TargetId &target)
+void Targets::recordClosed(const TargetId &target)
 {
     const auto it = d->targets.find(target);
     if (it != d->targets.end() && it->second.view.localOpenCount > 0) {
@@ -247,14 +248,14 @@
     }
 }
 
-void Targets::noteSuccess(const TargetId &target)
+void Targets::recordSuccess(const TargetId &target)
 {
     if (const auto it = d->targets.find(target); it != d->targets.end()) {
         recordTargetSuccess(it->second.view);
     }
 }
 
-void Targets::noteFailure(const TargetId &target)
+void Targets::recordFailure(const TargetId &target)
 {
     const auto it = d->targets.find(target);
     if (it == d->targets.end()) {
@@ -262,14 +263,14 @@
     }
     const TimePoint now = d->context.clock.now();
     std::size_t ejected = 0;
-    std::size_t alive = 0;
+    std::size_t reachable = 0;
     for (const auto &[id, other] : d->targets) {
         ejected += now < other.view.ejectedUntil ? 1 : 0;
-        alive += other.view.isTimedOut ? 0 : 1;
+        reachable += other.view.isTimedOut ? 0 : 1;
     }
     const bool isAlreadyEjected = now < it->second.view.ejectedUntil;
     if (!isAlreadyEjected) {
-        recordTargetFailure(it->second.view, now, ejected, alive);
+        recordTargetFailure(it->second.view, now, ejected, reachable);
     }
 }
 
--- a/src/entry/work_keeper.cpp
+++ b/src/entry/usage_recorder.cpp
@@ -1,5 +1,5 @@
 // Index: [SECTION] Rows, [SECTION] Counting, [SECTION] Writing, [SECTION] Reading
-#include "entry/work_keeper.h"
+#include "entry/usage_recorder.h"
 
 #include <absl/strings/str_cat.h>
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-constexpr const char *workTable = "served-work";
+constexpr const char *usageTable = "served-work";
 
 // [SECTION] Rows
 
@@ -19,9 +19,9 @@
 {
 
 /// A closed stream whose stages have not all told what they spent.
-struct OpenUsage {
-    WorkOwner owner;
-    TimePoint until{};
+struct PendingUsage {
+    UsageOwner owner;
+    TimePoint expiresAt{};
 };
 
 /// Where a row stands in the store.
@@ -69,46 +69,46 @@
 
 } // namespace
 
-struct WorkKeeper::Private {
+struct UsageRecorder::Private {
     EntryContext &context;
     Store &store;
     UsageLedger ledger;
-    std::unordered_map<RequestId, OpenUsage> usages;
+    std::unordered_map<RequestId, PendingUsage> pendingUsage;
     std::map<std::string, WrittenRow> written; ///< by row key
     bool isDirty = false;
     bool isWriting = false;
     TimePoint nextFlush{};
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    UsageCounters &countersOf(const WorkOwner &owner);
+    UsageCounters &countersOf(const UsageOwner &owner);
     std::int64_t hour() const;
     std::map<std::string, std::string> rows() const;
-    void settle(const std::vector<RowWrite> &writes, StoreStatus status);
+    void handleWriteResult(const std::vector<RowWrite> &writes, StoreStatus status);
     void readVersion(const std::string &key);
-    void forgetOldHours();
+    void dropOldHours();
 };
 
 // [SECTION] Counting
 
-std::int64_t WorkKeeper::Private::hour() const
+std::int64_t UsageRecorder::Private::hour() const
 {
     return std::chrono::duration_cast<std::chrono::hours>(context.clock.wallTime().time_since_epoch()).count();
 }
 
-UsageCounters &WorkKeeper::Private::countersOf(const WorkOwner &owner)
+UsageCounters &UsageRecorder::Private::countersOf(const UsageOwner &owner)
 {
     isDirty = true;
     return ledger[{hour(), owner.workspace, owner.service, owner.model}];
 }
 
-WorkKeeper::WorkKeeper(EntryContext &context, Store &store)
+UsageRecorder::UsageRecorder(EntryContext &context, Store &store)
     : d(new Private{context, store})
 {
 }
 
-WorkKeeper::~WorkKeeper() = default;
+UsageRecorder::~UsageRecorder() = default;
 
-void WorkKeeper::countAnswered(const WorkOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens)
+void UsageRecorder::countAnswered(const UsageOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens)
 {
     UsageCounters &counters = d->countersOf(owner);
     ++counters.answered;
@@ -117,27 +117,27 @@
     counters.completionTokens += completionTokens;
 }
 
-void WorkKeeper::countRefused(const WorkOwner &owner)
+void UsageRecorder::countRefused(const UsageOwner &owner)
 {
     ++d->countersOf(owner).refused;
 }
 
-void WorkKeeper::countUnknown(const WorkOwner &owner, std::uint64_t completionTokens)
+void UsageRecorder::countUnknown(const UsageOwner &owner, std::uint64_t completionTokens)
 {
     UsageCounters &counters = d->countersOf(owner);
     ++counters.unknown;
     counters.completionTokens += completionTokens;
 }
 
-void WorkKeeper::expectUsage(const RequestId &request, const WorkOwner &owner)
+void UsageRecorder::expectUsage(const RequestId &request, const UsageOwner &owner)
 {
-    d->usages[request] = {owner, d->context.clock.now() + usageLife};
+    d->pendingUsage[request] = {owner, d->context.clock.now() + stageUsageTimeout};
 }
 
-void WorkKeeper::takeUsage(const StageUsage &usage, const std::string &accelerator)
+void UsageRecorder::recordStageUsage(const StageUsage &usage, const std::string &accelerator)
 {
-    const auto it = d->usages.find(usage.request);
-    if (it != d->usages.end()) {
+    const auto it = d->pendingUsage.find(usage.request);
+    if (it != d->pendingUsage.end()) {
         d->countersOf(it->second.owner).acceleratorMicros[accelerator] += usage.acceleratorMicros;
     }
 }
@@ -146,7 +146,7 @@
 
 /// The ledger as rows. Keys of one hour keep their order and so, as the ledger only grows within an hour, few move to
 /// another part; a part that lost a key to another one is written in the same transaction.
-std::map<std::string, std::string> WorkKeeper::Private::rows() const
+std::map<std::string, std::string> UsageRecorder::Private::rows() const
 {
     std::map<std::int64_t, std::vector<json>> byHour;
     for (const auto &[key, counters] : ledger) {
@@ -154,26 +154,26 @@
     }
     std::map<std::string, std::string> rows;
     for (const auto &[hour, items] : byHour) {
-        for (std::size_t first = 0; first < items.size(); first += keysInRow) {
-            const auto end = items.begin() + static_cast<std::ptrdiff_t>(std::min(first + keysInRow, items.size()));
+        for (std::size_t first = 0; first < items.size(); first += maxKeysPerRow) {
+            const auto end = items.begin() + static_cast<std::ptrdiff_t>(std::min(first + maxKeysPerRow, items.size()));
             const std::string key =
-                hourText(hour) + "/" + context.settings.id + "/" + std::to_string(context.incarnation.value) + "/" + std::to_string(first / keysInRow);
+                hourText(hour) + "/" + context.settings.id + "/" + std::to_string(context.incarnation.value) + "/" + std::to_string(first / maxKeysPerRow);
             rows[key] = json(std::vector<json>(items.begin() + static_cast<std::ptrdiff_t>(first), end)).dump();
         }
     }
     return rows;
 }
 
-void WorkKeeper::Private::readVersion(const std::string &key)
+void UsageRecorder::Private::readVersion(const std::string &key)
 {
-    store.readRow(workTable, key, [this, key, weak = std::weak_ptr(alive)](StoreStatus status, const Row &row) {
+    store.readRow(usageTable, key, [this, key, weak = std::weak_ptr(alive)](StoreStatus status, const Row &row) {
         if (!weak.expired() && (status == StoreStatus::Ok || status == StoreStatus::NotFound)) {
             written[key] = {row.version, row.value};
         }
     });
 }
 
-void WorkKeeper::Private::settle(const std::vector<RowWrite> &writes, StoreStatus status)
+void UsageRecorder::Private::handleWriteResult(const std::vector<RowWrite> &writes, StoreStatus status)
 {
     isWriting = false;
     for (const RowWrite &write : writes) {
@@ -190,7 +190,7 @@
     }
 }
 
-void WorkKeeper::Private::forgetOldHours()
+void UsageRecorder::Private::dropOldHours()
 {
     const std::int64_t now = hour();
     std::erase_if(ledger, [now](const auto &item) {
@@ -202,13 +202,13 @@
     });
 }
 
-void WorkKeeper::flush(std::function<void(StoreStatus)> done)
+void UsageRecorder::flush(std::function<void(StoreStatus)> done)
 {
     std::vector<RowWrite> writes;
     for (auto &[key, value] : d->rows()) {
         const WrittenRow &row = d->written[key];
         if (row.value != value) {
-            writes.push_back({workTable, key, value, row.version});
+            writes.push_back({usageTable, key, value, row.version});
         }
     }
     if (d->isWriting || writes.empty()) {
@@ -218,49 +218,49 @@
     d->isDirty = false;
     d->store.transact(writes, [this, writes, done = std::move(done), weak = std::weak_ptr(d->alive)](StoreStatus status) {
         if (!weak.expired()) {
-            d->settle(writes, status);
+            d->handleWriteResult(writes, status);
         }
         done(status);
     });
 }
 
-void WorkKeeper::tick()
+void UsageRecorder::tick()
 {
     const TimePoint now = d->context.clock.now();
-    std::erase_if(d->usages, [now](const auto &item) {
-        return now >= item.second.until;
+    std::erase_if(d->pendingUsage, [now](const auto &item) {
+        return now >= item.second.expiresAt;
     });
     if (now < d->nextFlush) {
         return;
     }
     d->nextFlush = now + d->context.settings.reportFlush;
     if (!d->isDirty) {
-        d->forgetOldHours();
+        d->dropOldHours();
         return;
     }
     flush([](StoreStatus) {});
 }
 
-bool WorkKeeper::isDirty() const
+bool UsageRecorder::isDirty() const
 {
     return d->isDirty || d->isWriting;
 }
 
-std::int64_t WorkKeeper::currentHour() const
+std::int64_t UsageRecorder::currentHour() const
 {
     return d->hour();
 }
 
 // [SECTION] Reading
 
-void WorkKeeper::read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const UsageLedger &)> done)
+void UsageRecorder::read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const UsageLedger &)> done)
 {
     // This entry's own work first, so that its report holds everything that it has counted.
     flush([this, fromHour, toHour, done = std::move(done), weak = std::weak_ptr(d->alive)](StoreStatus) {
         if (weak.expired()) {
             return;
         }
-        d->store.scanRows(workTable, hourText(fromHour), hourText(toHour), maxReportRows, [done](StoreStatus status, const std::vector<Row> &rows) {
+        d->store.scanRows(usageTable, hourText(fromHour), hourText(toHour), maxReportRows, [done](StoreStatus status, const std::vector<Row> &rows) {
             UsageLedger ledger;
             for (const Row &row : rows) {
                 const json items = json::parse(row.value, nullptr, false);
--- a/src/entry/work_keeper.h
+++ b/src/entry/usage_recorder.h
@@ -14,7 +14,7 @@
 {
 
 /// Whose work it is; the hour is the keeper's.
-struct WorkOwner {
+struct UsageOwner {
     WorkspaceName workspace; ///< of the caller
     ServiceName service;     ///< named by the caller
     ModelName model;         ///< empty for plain services
@@ -22,19 +22,19 @@
 };
 
 /// Keeps the served work.
-class WorkKeeper
+class UsageRecorder
 {
 public:
-    WorkKeeper(EntryContext &context, Store &store);
-    ~WorkKeeper();
+    UsageRecorder(EntryContext &context, Store &store);
+    ~UsageRecorder();
 
-    void countAnswered(const WorkOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens);
-    void countRefused(const WorkOwner &owner);
+    void countAnswered(const UsageOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens);
+    void countRefused(const UsageOwner &owner);
     /// `completionTokens` were given to the caller before the answer broke off.
-    void countUnknown(const WorkOwner &owner, std::uint64_t completionTokens);
+    void countUnknown(const UsageOwner &owner, std::uint64_t completionTokens);
     /// A stream's stages will tell what they spent on it.
-    void expectUsage(const RequestId &request, const WorkOwner &owner);
-    void takeUsage(const StageUsage &usage, const std::string &accelerator);
+    void expectUsage(const RequestId &request, const UsageOwner &owner);
+    void recordStageUsage(const StageUsage &usage, const std::string &accelerator);
 
     /// Writes what has changed, if it is time. Called now and then.
     void tick();
@@ -52,8 +52,8 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t keysInRow = 200;   ///< workspaces x services in one row: some 40 KB
-constexpr milliseconds usageLife{10000}; ///< how long a closed stream's usage is waited for
-constexpr int maxReportRows = 100000;    ///< read for one report
+constexpr std::size_t maxKeysPerRow = 200;       ///< workspaces x services in one row: some 40 KB
+constexpr milliseconds stageUsageTimeout{10000}; ///< how long a closed stream's usage is waited for
+constexpr int maxReportRows = 100000;            ///< read for one report
 
 } // namespace Parsleytrail
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -90,25 +90,25 @@
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
         engine.stepFixed = microseconds(8000);
     };
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("adapter = clay\n[service.booking]"), 15, "adapter = clay\nbetween-tokens-target = 5ms\n");
     Cluster cluster(options);
     std::vector<AnswerPtr> answers;
     answers.reserve(30);
     for (int i = 0; i < 30; ++i) {
-        answers.push_back(cluster.ask("long " + std::to_string(i), 60));
+        answers.push_back(cluster.requestCompletion("long " + std::to_string(i), 60));
     }
     cluster.wait("the limit to fall", [&] {
         const json lanes = json::parse(cluster.entries[0]->status())["admission"];
         return lanes.contains("assistant") && lanes["assistant"]["limit"] < 20;
     });
     for (int i = 0; i < 30; ++i) {
-        answers.push_back(cluster.ask("late " + std::to_string(i), 60));
+        answers.push_back(cluster.requestCompletion("late " + std::to_string(i), 60));
     }
     int refused = 0;
     for (std::size_t i = 0; i < answers.size(); ++i) {
         cluster.wait("an answer", [&] {
-            return answers[i]->isOver;
+            return answers[i]->isEnded;
         });
         if (answers[i]->status == 503) {
             ++refused;
@@ -132,14 +132,14 @@
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
         engine.stepFixed = microseconds(8000);
     };
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("adapter = clay\n[service.booking]"), 15,
                                   "adapter = clay\nbetween-tokens-target = 5ms\nfirst-token-deadline = 60s\n");
     Cluster cluster(options);
     std::vector<AnswerPtr> answers;
     answers.reserve(80);
     for (int i = 0; i < 80; ++i) {
-        answers.push_back(cluster.ask("long " + std::to_string(i), 30));
+        answers.push_back(cluster.requestCompletion("long " + std::to_string(i), 30));
     }
     const auto waiting = [&] {
         const json lanes = json::parse(cluster.entries[0]->status())["admission"];
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-std::string usualConfiguration(const std::string &extra)
+std::string defaultConfiguration(const std::string &extra)
 {
     return "[model.assistant]\nlayers = 32\nversions = v1, v2\nadapters = clay\n"
            "[service.chat]\nkind = pipeline\nmodel = assistant\nversion = v1\nadapter = clay\n"
@@ -31,7 +31,7 @@
     request.headers.push_back({"Authorization", std::string("Bearer ") + callerKey});
     request.headers.push_back({"Content-Type", "application/json"});
     request.body = body;
-    request.timeout = patience;
+    request.timeout = testTimeout;
     return request;
 }
 
@@ -56,7 +56,7 @@
     for (std::size_t i = 0; i < m_sidecarSettings.size(); ++i) {
         startSidecar(i);
     }
-    apply(m_options.configuration.empty() ? usualConfiguration() : m_options.configuration);
+    apply(m_options.configuration.empty() ? defaultConfiguration() : m_options.configuration);
     waitReady(m_sidecarSettings.size());
 }
 
@@ -65,7 +65,7 @@
 void Cluster::makeEngines()
 {
     for (const auto &[begin, end] : m_options.ranges) {
-        for (std::uint32_t i = 0; i < m_options.holders; ++i) {
+        for (std::uint32_t i = 0; i < m_options.enginesPerRange; ++i) {
             StandIn::EngineOptions engine;
             engine.id = "engine-" + std::to_string(engines.size());
             engine.weights = {"assistant", "v1", ""};
@@ -200,7 +200,7 @@
 
 void Cluster::wait(const char *what, const std::function<bool()> &done)
 {
-    const bool isDone = loop.runUntil(done, patience);
+    const bool isDone = loop.runUntil(done, testTimeout);
     BOOST_REQUIRE_MESSAGE(isDone, "waited in vain for: " << what);
 }
 
@@ -244,12 +244,12 @@
 }
 
 /// Takes what events have come into the answer's text.
-static void readEvents(Answer &answer, std::string &rest)
+static void readEvents(Answer &answer, std::string &remainder)
 {
     std::size_t end = 0;
-    while ((end = rest.find("\n\n")) != std::string::npos) {
-        std::string event = rest.substr(0, end);
-        rest.erase(0, end + 2);
+    while ((end = remainder.find("\n\n")) != std::string::npos) {
+        std::string event = remainder.substr(0, end);
+        remainder.erase(0, end + 2);
         if (event == "data: [DONE]") {
             answer.hasDone = true;
             continue;
@@ -268,30 +268,30 @@
     }
 }
 
-AnswerPtr Cluster::ask(const std::string &prompt, std::uint32_t maxTokens, std::size_t entry)
+AnswerPtr Cluster::requestCompletion(const std::string &prompt, std::uint32_t maxTokens, std::size_t entry)
 {
     const auto answer = std::make_shared<Answer>();
-    const auto rest = std::make_shared<std::string>();
+    const auto remainder = std::make_shared<std::string>();
     const json body = {{"model", "chat"}, {"stream", true}, {"max_tokens", maxTokens}, {"messages", {{{"role", "user"}, {"content", prompt}}}}};
     HttpStreamHandlers handlers;
     handlers.onHead = [answer](int status, const HttpHeaders &headers) {
         answer->status = status;
         answer->headers = headers;
     };
-    handlers.onData = [answer, rest](std::string_view bytes) {
+    handlers.onData = [answer, remainder](std::string_view bytes) {
         answer->body.append(bytes);
-        rest->append(bytes);
-        readEvents(*answer, *rest);
+        remainder->append(bytes);
+        readEvents(*answer, *remainder);
     };
     handlers.onDone = [answer](const std::optional<HttpFailure> &failure) {
         answer->failure = failure;
-        answer->isOver = true;
+        answer->isEnded = true;
     };
     answer->call = client.stream(entries[entry]->callerAddress(), post("/v1/chat/completions", body.dump()), std::move(handlers));
     return answer;
 }
 
-std::shared_ptr<std::optional<HttpResult>> Cluster::begin(HttpClientRequest request, std::size_t entry)
+std::shared_ptr<std::optional<HttpResult>> Cluster::sendAsync(HttpClientRequest request, std::size_t entry)
 {
     const auto result = std::make_shared<std::optional<HttpResult>>();
     client.fetch(entries[entry]->callerAddress(), std::move(request), [result](const HttpResult &answer) {
@@ -302,14 +302,14 @@
 
 HttpResult Cluster::send(HttpClientRequest request, std::size_t entry)
 {
-    const auto result = begin(std::move(request), entry);
+    const auto result = sendAsync(std::move(request), entry);
     wait("an answer", [&] {
         return result->has_value();
     });
     return **result;
 }
 
-HttpResult Cluster::operate(const std::string &method, const std::string &path, const std::string &body, HttpHeaders headers, std::size_t entry)
+HttpResult Cluster::sendOperatorRequest(const std::string &method, const std::string &path, const std::string &body, HttpHeaders headers, std::size_t entry)
 {
     HttpClientRequest request;
     request.method = method;
@@ -317,7 +317,7 @@
     request.body = body;
     request.headers = std::move(headers);
     request.headers.push_back({"Authorization", std::string("Bearer ") + operatorKey});
-    request.timeout = patience;
+    request.timeout = testTimeout;
     std::optional<HttpResult> result;
     client.fetch(entries[entry]->operatorAddress(), std::move(request), [&](const HttpResult &answer) {
         result = answer;
@@ -330,12 +330,12 @@
 
 std::uint64_t Cluster::apply(const std::string &text, std::size_t entry)
 {
-    const HttpResult result = operate("PUT", "/operator/v1/configuration", text, {}, entry);
+    const HttpResult result = sendOperatorRequest("PUT", "/operator/v1/configuration", text, {}, entry);
     BOOST_REQUIRE_MESSAGE(result.isOk(), result.status << " " << result.body);
     return json::parse(result.body)["version"];
 }
 
-std::string Cluster::expected(const std::string &prompt, std::uint32_t maxTokens) const
+std::string Cluster::expectedText(const std::string &prompt, std::uint32_t maxTokens) const
 {
     return StandIn::referenceAnswer("user: " + prompt + "\n", {"assistant", "v1", "clay"}, m_options.ranges.back().second, maxTokens).text;
 }
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -17,12 +17,12 @@
 namespace Parsleytrail::Test
 {
 
-constexpr milliseconds patience{60000}; ///< longest wait for anything; only a broken run gets there
+constexpr milliseconds testTimeout{60000}; ///< longest wait for anything; only a broken run gets there
 
 /// What the system is made of.
 struct ClusterOptions {
     std::vector<std::pair<std::uint32_t, std::uint32_t>> ranges = {{0, 10}, {10, 22}, {22, 32}}; ///< layer ranges
-    std::uint32_t holders = 2;                                                                   ///< engines for each range
+    std::uint32_t enginesPerRange = 2;                                                           ///< engines for each range
     std::uint32_t entries = 2;                                                                   ///< entries
     std::uint32_t applications = 1;                                                              ///< booking applications
     std::function<void(EntrySettings &)> tuneEntry;                                              ///< changes settings
@@ -40,7 +40,7 @@
     std::string finish;                 ///< finish_reason
     std::uint32_t events = 0;           ///< events with content
     bool hasDone = false;               ///< [DONE] came
-    bool isOver = false;                ///< complete or broken
+    bool isEnded = false;               ///< complete or broken
     std::optional<HttpFailure> failure; ///< broken
     HttpCallPtr call;                   ///< to cancel it
 };
@@ -59,17 +59,18 @@
     void idle(milliseconds time);
 
     /// Sends a streamed question to an entry.
-    AnswerPtr ask(const std::string &prompt, std::uint32_t maxTokens, std::size_t entry = 0);
+    AnswerPtr requestCompletion(const std::string &prompt, std::uint32_t maxTokens, std::size_t entry = 0);
     /// Sends any request to an entry's callers' port and waits for the answer.
     HttpResult send(HttpClientRequest request, std::size_t entry = 0);
     /// Sends a request without waiting.
-    std::shared_ptr<std::optional<HttpResult>> begin(HttpClientRequest request, std::size_t entry = 0);
+    std::shared_ptr<std::optional<HttpResult>> sendAsync(HttpClientRequest request, std::size_t entry = 0);
     /// Sends a request to an entry's operators' port and waits.
-    HttpResult operate(const std::string &method, const std::string &path, const std::string &body = {}, HttpHeaders headers = {}, std::size_t entry = 0);
+    HttpResult sendOperatorRequest(const std::string &method, const std::string &path, const std::string &body = {}, HttpHeaders headers = {},
+                                   std::size_t entry = 0);
     /// Applies a file through an entry; fails the test if it is not accepted. Returns the version.
     std::uint64_t apply(const std::string &text, std::size_t entry = 0);
     /// Text of the answer that a correct run gives.
-    std::string expected(const std::string &prompt, std::uint32_t maxTokens) const;
+    std::string expectedText(const std::string &prompt, std::uint32_t maxTokens) const;
 
     /// Ends an engine if it lives, and starts an empty one on its port.
     void restartEngine(std::size_t index);
@@ -109,7 +110,7 @@
 };
 
 /// The usual configuration: model assistant with 32 layers, services chat and booking, one workspace.
-std::string usualConfiguration(const std::string &extra = {});
+std::string defaultConfiguration(const std::string &extra = {});
 /// A POST of JSON to a path, as the workspace's caller.
 HttpClientRequest post(const std::string &path, const std::string &body, HttpHeaders headers = {});
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -38,7 +38,7 @@
 /// The usual configuration with one more target class.
 std::string withTargetClass(const std::string &name)
 {
-    return usualConfiguration("[target-class." + name + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
+    return defaultConfiguration("[target-class." + name + "]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n");
 }
 
 /// An invalid text and the section and key that a problem must name.
@@ -89,14 +89,14 @@
 
 BOOST_DATA_TEST_CASE(each_error_names_section_key_and_line, boost::unit_test::data::make(invalidTexts), invalid)
 {
-    const std::string text = usualConfiguration() + invalid.text;
+    const std::string text = defaultConfiguration() + invalid.text;
     const std::vector<IniProblem> problems = problemsOf(text);
     BOOST_REQUIRE(!problems.empty());
     const auto found = std::find_if(problems.begin(), problems.end(), [&invalid](const IniProblem &problem) {
         return problem.section == invalid.section && problem.key == invalid.key;
     });
     BOOST_REQUIRE_MESSAGE(found != problems.end(), problems.front().toString());
-    const std::string good = usualConfiguration();
+    const std::string good = defaultConfiguration();
     const auto firstLine = std::count(good.begin(), good.end(), '\n');
     const auto lastLine = std::count(text.begin(), text.end(), '\n');
     BOOST_TEST(found->line > firstLine);
@@ -113,7 +113,7 @@
 BOOST_AUTO_TEST_CASE(an_over_long_line_is_refused_and_not_truncated)
 {
     // inih would parse the first bytes of the line as a value and the remainder as another line.
-    const std::vector<IniProblem> problems = problemsOf(usualConfiguration() + "[service.x]\nkind = plain\nmodel = " + std::string(20000, 'm') + "\n");
+    const std::vector<IniProblem> problems = problemsOf(defaultConfiguration() + "[service.x]\nkind = plain\nmodel = " + std::string(20000, 'm') + "\n");
     BOOST_REQUIRE(problems.size() == 1u);
     BOOST_TEST(problems[0].text.find("bytes in a line") != std::string::npos);
 }
@@ -125,7 +125,7 @@
     for (int i = 0; i < 40; ++i) {
         digests += (i > 0 ? ", " : "") + sha256Hex("key " + std::to_string(i));
     }
-    const Configuration configuration = parse(usualConfiguration("[workspace.many]\nkey-digests = " + digests + " ; forty\nservices = chat\n"));
+    const Configuration configuration = parse(defaultConfiguration("[workspace.many]\nkey-digests = " + digests + " ; forty\nservices = chat\n"));
     BOOST_TEST(configuration.workspaces.at("many").keyDigests.size() == 40u);
     BOOST_TEST(configuration.workspaces.at("many").keyDigests.back() == sha256Hex("key 39"));
     BOOST_TEST(parse(configurationText(configuration)).digest == configuration.digest);
@@ -142,11 +142,11 @@
 
 BOOST_AUTO_TEST_CASE(updates_carry_only_changes_and_never_go_back)
 {
-    Configuration first = parse(usualConfiguration());
+    Configuration first = parse(defaultConfiguration());
     first.version.value = 1;
     Configuration second = parse(withTargetClass("b"));
     second.version.value = 2;
-    Configuration third = parse(usualConfiguration());
+    Configuration third = parse(defaultConfiguration());
     third.version.value = 3;
     ConfigurationLog log;
     recordChange(log, {}, first);
@@ -163,9 +163,9 @@
     BOOST_TEST((applyUpdate(second, toThird, result) == UpdateResult::Applied));
     BOOST_TEST(result.digest == first.digest);
     // A key that moves from one workspace to another in one change
-    Configuration before = parse(usualConfiguration("[workspace.w]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
+    Configuration before = parse(defaultConfiguration("[workspace.w]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
     before.version.value = 1;
-    Configuration after = parse(usualConfiguration("[workspace.a]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
+    Configuration after = parse(defaultConfiguration("[workspace.a]\nkey-digests = " + sha256Hex("w") + "\nservices = chat\n"));
     after.version.value = 2;
     ConfigurationLog keys;
     recordChange(keys, before, after);
@@ -187,7 +187,7 @@
 
 BOOST_AUTO_TEST_CASE(sidecars_get_no_workspaces)
 {
-    Configuration first = parse(usualConfiguration());
+    Configuration first = parse(defaultConfiguration());
     first.version.value = 1;
     const ConfigurationUpdate update = makeUpdate(first, {}, {}, SectionScope::WithoutWorkspaces);
     for (const SectionText &section : update.sections) {
@@ -204,25 +204,25 @@
 BOOST_AUTO_TEST_CASE(operators_see_versions_changes_and_errors)
 {
     Cluster cluster;
-    const HttpResult shown = cluster.operate("GET", "/operator/v1/configuration");
+    const HttpResult shown = cluster.sendOperatorRequest("GET", "/operator/v1/configuration");
     BOOST_TEST(findHeader(shown.headers, "ETag") == "\"1\"");
-    BOOST_TEST(parse(shown.body).digest == parse(usualConfiguration()).digest);
+    BOOST_TEST(parse(shown.body).digest == parse(defaultConfiguration()).digest);
 
-    const HttpResult dry = cluster.operate("PUT", "/operator/v1/configuration?dry-run", withTargetClass("b"));
+    const HttpResult dry = cluster.sendOperatorRequest("PUT", "/operator/v1/configuration?dry-run", withTargetClass("b"));
     BOOST_TEST(json::parse(dry.body)["result"] == "dry-run");
     BOOST_TEST(json::parse(dry.body)["changes"][0]["section"] == "target-class.b");
-    BOOST_TEST(json::parse(cluster.operate("PUT", "/operator/v1/configuration", usualConfiguration()).body)["result"] == "unchanged");
+    BOOST_TEST(json::parse(cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", defaultConfiguration()).body)["result"] == "unchanged");
 
-    const HttpResult invalid = cluster.operate("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
+    const HttpResult invalid = cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", "[service.a]\nkind = x\n[odd.b]\n");
     BOOST_TEST(invalid.status == 422);
     BOOST_TEST(json::parse(invalid.body)["errors"].size() == 2u);
     BOOST_TEST(findHeader(invalid.headers, "parsley-outcome") == "not-run");
 
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"7\""}}).status == 412);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "seven"}}).status == 400);
-    BOOST_TEST(cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"1\""}}).status == 200);
+    BOOST_TEST(cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"7\""}}).status == 412);
+    BOOST_TEST(cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "seven"}}).status == 400);
+    BOOST_TEST(cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", withTargetClass("b"), {{"If-Match", "\"1\""}}).status == 200);
     cluster.waitReady(7);
-    const json history = json::parse(cluster.operate("GET", "/operator/v1/configuration/history", {}, {}, 1).body)["history"];
+    const json history = json::parse(cluster.sendOperatorRequest("GET", "/operator/v1/configuration/history", {}, {}, 1).body)["history"];
     BOOST_REQUIRE(history.size() == 2u);
     BOOST_TEST(history[0]["version"] == 2);
     BOOST_TEST(history[0]["entry"] == "entry-0");
@@ -253,7 +253,7 @@
     BOOST_TEST(results[firstWon ? 1 : 0]->status == 412);
     cluster.waitReady(7);
     for (std::size_t i = 0; i < 2; ++i) {
-        const std::string text = cluster.operate("GET", "/operator/v1/configuration", {}, {}, i).body;
+        const std::string text = cluster.sendOperatorRequest("GET", "/operator/v1/configuration", {}, {}, i).body;
         BOOST_TEST((text.find("target-class.first") != std::string::npos) == firstWon);
         BOOST_TEST((text.find("target-class.second") != std::string::npos) == !firstWon);
     }
@@ -265,10 +265,10 @@
     // reports to the operator what happened: accepted once, as version 2.
     Cluster cluster;
     cluster.platform.faults().loseAnswers = 2;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
+    const HttpResult result = cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 200);
     BOOST_TEST(json::parse(result.body)["version"] == 2);
-    BOOST_TEST(json::parse(cluster.operate("GET", "/operator/v1/configuration/history").body)["history"].size() == 2u);
+    BOOST_TEST(json::parse(cluster.sendOperatorRequest("GET", "/operator/v1/configuration/history").body)["history"].size() == 2u);
     cluster.waitReady(7);
 }
 
@@ -276,16 +276,16 @@
 {
     Cluster cluster;
     cluster.platform.faults().isDown = true;
-    const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
+    const HttpResult result = cluster.sendOperatorRequest("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 503);
     BOOST_TEST(findHeader(result.headers, "parsley-outcome") == "not-run");
     BOOST_TEST(!findHeader(result.headers, "Retry-After").empty());
     // Requests are still served with the configuration in force.
-    const AnswerPtr answer = cluster.ask("hello", 4);
+    const AnswerPtr answer = cluster.requestCompletion("hello", 4);
     cluster.wait("an answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
-    BOOST_TEST(answer->text == cluster.expected("hello", 4));
+    BOOST_TEST(answer->text == cluster.expectedText("hello", 4));
 }
 
 BOOST_AUTO_TEST_CASE(an_entry_that_starts_while_the_store_is_away_asks_its_peers)
@@ -340,13 +340,13 @@
         return cluster.entries[0]->isReady();
     });
     BOOST_TEST(cluster.entries[0]->configurationVersion() == 71u);
-    BOOST_TEST(parse(cluster.operate("GET", "/operator/v1/configuration").body).digest == parse(withTargetClass("c69")).digest);
+    BOOST_TEST(parse(cluster.sendOperatorRequest("GET", "/operator/v1/configuration").body).digest == parse(withTargetClass("c69")).digest);
 }
 
 BOOST_AUTO_TEST_CASE(a_change_of_keys_takes_effect_at_every_entry)
 {
     Cluster cluster;
-    std::string text = usualConfiguration();
+    std::string text = defaultConfiguration();
     text.replace(text.find(sha256Hex(callerKey)), 64, sha256Hex("another-key"));
     cluster.apply(text, 1);
     cluster.waitReady(7);
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -34,7 +34,7 @@
     // An entry receives SIGTERM in the middle of an answer: it immediately reports not ready, refuses new requests as not run,
     // completes the open answer, and only then ends.
     Cluster cluster(slowEngines());
-    const AnswerPtr answer = cluster.ask("drums", 40);
+    const AnswerPtr answer = cluster.requestCompletion("drums", 40);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 5;
     });
@@ -48,10 +48,10 @@
     BOOST_TEST(findHeader(refused.headers, "parsley-outcome") == "not-run");
     BOOST_TEST(!isFinished);
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->hasDone);
-    BOOST_TEST(answer->text == cluster.expected("drums", 40));
+    BOOST_TEST(answer->text == cluster.expectedText("drums", 40));
     cluster.wait("the entry to end", [&] {
         return isFinished;
     });
@@ -66,9 +66,9 @@
         entry.drainTimeout = std::chrono::hours(1);
     };
     Cluster cluster(options);
-    const AnswerPtr answer = cluster.ask("drums", 4);
+    const AnswerPtr answer = cluster.requestCompletion("drums", 4);
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     cluster.platform.faults().isSilent = true;
     bool isFinished = false;
@@ -85,7 +85,7 @@
     // The sidecar of a stage receives SIGTERM in the middle of an answer. The stream continues there to its end; new streams go to
     // other targets as soon as the entry has received the sidecar's announcement.
     Cluster cluster(slowEngines());
-    const AnswerPtr answer = cluster.ask("drums", 40);
+    const AnswerPtr answer = cluster.requestCompletion("drums", 40);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 5;
     });
@@ -101,19 +101,19 @@
     std::vector<AnswerPtr> others;
     others.reserve(10);
     for (int i = 0; i < 10; ++i) {
-        others.push_back(cluster.ask("other", 3));
+        others.push_back(cluster.requestCompletion("other", 3));
     }
     for (const AnswerPtr &other : others) {
         cluster.wait("another answer", [&] {
-            return other->isOver;
+            return other->isEnded;
         });
         BOOST_TEST(other->hasDone);
         BOOST_TEST(cluster.engines[leaving]->openStreams() <= before);
     }
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
-    BOOST_TEST(answer->text == cluster.expected("drums", 40));
+    BOOST_TEST(answer->text == cluster.expectedText("drums", 40));
     BOOST_TEST(cluster.engines[leaving]->positionsApplied() == 42u); // 3 prompt tokens and 39 answer tokens, each applied once
     cluster.wait("the sidecar to end", [&] {
         return isFinished;
@@ -131,9 +131,9 @@
     });
     const std::uint64_t before = cluster.engines[2]->positionsApplied();
     for (int i = 0; i < 5; ++i) {
-        const AnswerPtr answer = cluster.ask("x", 2);
+        const AnswerPtr answer = cluster.requestCompletion("x", 2);
         cluster.wait("an answer", [&] {
-            return answer->isOver;
+            return answer->isEnded;
         });
         BOOST_TEST(answer->hasDone);
     }
@@ -144,7 +144,7 @@
 {
     // A sidecar starts that is missing in the platform's list of instances. Entries receive its announcement and use it.
     ClusterOptions options;
-    options.holders = 1;
+    options.enginesPerRange = 1;
     Cluster cluster(options);
     cluster.killSidecar(0);
     cluster.wait("the entry to detect the loss", [&] {
@@ -154,11 +154,11 @@
     cluster.wait("the entry to use it", [&] {
         return json::parse(cluster.entries[0]->status())["coverage"]["assistant@v1"]["0-10"] == 1;
     });
-    const AnswerPtr answer = cluster.ask("x", 4);
+    const AnswerPtr answer = cluster.requestCompletion("x", 4);
     cluster.wait("an answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
-    BOOST_TEST(answer->text == cluster.expected("x", 4));
+    BOOST_TEST(answer->text == cluster.expectedText("x", 4));
 }
 
 BOOST_AUTO_TEST_CASE(a_whole_data_center_goes)
@@ -169,7 +169,7 @@
     std::vector<AnswerPtr> answers;
     answers.reserve(20);
     for (int i = 0; i < 20; ++i) {
-        answers.push_back(cluster.ask("question " + std::to_string(i), 30, static_cast<std::size_t>(i % 2)));
+        answers.push_back(cluster.requestCompletion("question " + std::to_string(i), 30, static_cast<std::size_t>(i % 2)));
     }
     cluster.wait("tokens of all", [&] {
         return std::all_of(answers.begin(), answers.end(), [](const AnswerPtr &answer) {
@@ -181,9 +181,9 @@
     }
     for (int i = 0; i < 20; ++i) {
         cluster.wait("an answer", [&] {
-            return answers[static_cast<std::size_t>(i)]->isOver;
+            return answers[static_cast<std::size_t>(i)]->isEnded;
         });
-        BOOST_TEST(answers[static_cast<std::size_t>(i)]->text == cluster.expected("question " + std::to_string(i), 30));
+        BOOST_TEST(answers[static_cast<std::size_t>(i)]->text == cluster.expectedText("question " + std::to_string(i), 30));
     }
 }
 
@@ -201,11 +201,11 @@
     Cluster cluster(options);
     for (std::size_t entry = 0; entry < 2; ++entry) {
         for (int i = 0; i < 4; ++i) {
-            const AnswerPtr answer = cluster.ask("old and new", 5, entry);
+            const AnswerPtr answer = cluster.requestCompletion("old and new", 5, entry);
             cluster.wait("an answer", [&] {
-                return answer->isOver;
+                return answer->isEnded;
             });
-            BOOST_TEST(answer->text == cluster.expected("old and new", 5));
+            BOOST_TEST(answer->text == cluster.expectedText("old and new", 5));
         }
         BOOST_TEST(cluster.send(post("/services/booking/bookings", "{}"), entry).status == 201);
     }
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -83,9 +83,9 @@
 ClusterOptions FaultRun::options()
 {
     ClusterOptions options;
-    options.holders = 3;
+    options.enginesPerRange = 3;
     options.applications = 2;
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
         engine.stepFixed = microseconds(1000);
@@ -123,7 +123,7 @@
     OpenQuestion question;
     question.prompt = "question " + std::to_string(m_asked++);
     question.maxTokens = static_cast<std::uint32_t>(5 + pick(60));
-    question.answer = m_cluster.ask(question.prompt, question.maxTokens, livingEntry());
+    question.answer = m_cluster.requestCompletion(question.prompt, question.maxTokens, livingEntry());
     m_questions.push_back(std::move(question));
 }
 
@@ -134,7 +134,7 @@
         headers.push_back({"Idempotency-Key", booking.reference});
     }
     --booking.sendsLeft;
-    booking.result = m_cluster.begin(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), livingEntry());
+    booking.result = m_cluster.sendAsync(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), livingEntry());
 }
 
 void FaultRun::book()
@@ -223,7 +223,7 @@
 void FaultRun::collect()
 {
     for (auto question = m_questions.begin(); question != m_questions.end();) {
-        if (!question->answer->isOver) {
+        if (!question->answer->isEnded) {
             ++question;
             continue;
         }
@@ -232,7 +232,7 @@
             note({{"event", "caller-answer"},
                   {"request", question->prompt},
                   {"text", question->answer->text},
-                  {"expected", m_cluster.expected(question->prompt, question->maxTokens)}});
+                  {"expected", m_cluster.expectedText(question->prompt, question->maxTokens)}});
         }
         question = m_questions.erase(question);
     }
@@ -328,13 +328,13 @@
 {
     // A clean run, and one event added or changed for each promise: each must be caught, under its own name.
     Cluster cluster;
-    const AnswerPtr answer = cluster.ask("clean", 10);
+    const AnswerPtr answer = cluster.requestCompletion("clean", 10);
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     HttpClientRequest booking = post("/services/booking/bookings", "{}", {{"X-Request-Id", "r1"}});
     cluster.send(booking);
-    cluster.apply(usualConfiguration("[target-class.x]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n"));
+    cluster.apply(defaultConfiguration("[target-class.x]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n"));
     cluster.waitReady(7);
     cluster.recordStandIns();
     const std::vector<std::string> clean = cluster.history;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -73,11 +73,11 @@
 /// The system still answers a question.
 void checkAlive(Cluster &cluster)
 {
-    const AnswerPtr answer = cluster.ask("still there", 4);
+    const AnswerPtr answer = cluster.requestCompletion("still there", 4);
     cluster.wait("an answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
-    BOOST_TEST(answer->text == cluster.expected("still there", 4));
+    BOOST_TEST(answer->text == cluster.expectedText("still there", 4));
 }
 
 json chatBody(const json &extra)
@@ -305,11 +305,11 @@
         const std::string request = std::string("GET /operator/v1/") + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer wrong\r\n\r\n";
         BOOST_TEST(sendRaw(cluster, address, request, "parsley-outcome\":").find("401 Unauthorized") != std::string::npos);
     }
-    const HttpResult metrics = cluster.operate("GET", "/operator/v1/metrics");
+    const HttpResult metrics = cluster.sendOperatorRequest("GET", "/operator/v1/metrics");
     BOOST_TEST(metrics.status == 200);
     BOOST_TEST(metrics.body.find("# EOF\n") == metrics.body.size() - 6);
-    BOOST_TEST(json::parse(cluster.operate("GET", "/operator/v1/state").body)["role"] == "entry");
-    BOOST_TEST(cluster.operate("GET", "/operator/v1/nothing").status == 404);
+    BOOST_TEST(json::parse(cluster.sendOperatorRequest("GET", "/operator/v1/state").body)["role"] == "entry");
+    BOOST_TEST(cluster.sendOperatorRequest("GET", "/operator/v1/nothing").status == 404);
 }
 
 /// Guards against requests that are taken for others because their first line came in two parts.
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -13,13 +13,13 @@
 BOOST_AUTO_TEST_CASE(streamed_answer_is_the_reference_answer)
 {
     Cluster cluster;
-    const AnswerPtr answer = cluster.ask("which wheel is free", 20);
+    const AnswerPtr answer = cluster.requestCompletion("which wheel is free", 20);
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->status == 200);
     BOOST_TEST(answer->hasDone);
-    BOOST_TEST(answer->text == cluster.expected("which wheel is free", 20));
+    BOOST_TEST(answer->text == cluster.expectedText("which wheel is free", 20));
 }
 
 BOOST_AUTO_TEST_CASE(whole_answer_has_text_and_usage)
@@ -30,7 +30,7 @@
     BOOST_REQUIRE(result.status == 200);
     const json answer = json::parse(result.body);
     BOOST_TEST(answer["object"] == "chat.completion");
-    BOOST_TEST(answer["choices"][0]["message"]["content"] == cluster.expected("clay", 7));
+    BOOST_TEST(answer["choices"][0]["message"]["content"] == cluster.expectedText("clay", 7));
     BOOST_TEST(answer["usage"]["completion_tokens"] == 7);
     BOOST_TEST(answer["usage"]["prompt_tokens"] == 3); // begin of text, "user:", "clay"
     BOOST_TEST(answer["usage"]["total_tokens"] == 10);
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -19,7 +19,7 @@
 ClusterOptions slowEngines(std::uint32_t holders)
 {
     ClusterOptions options;
-    options.holders = holders;
+    options.enginesPerRange = holders;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
         engine.stepFixed = microseconds(3000);
     };
@@ -80,30 +80,30 @@
     std::vector<AnswerPtr> answers;
     answers.reserve(20);
     for (int i = 0; i < 20; ++i) {
-        answers.push_back(cluster.ask("innocent " + std::to_string(i), 40, static_cast<std::size_t>(i % 2)));
+        answers.push_back(cluster.requestCompletion("innocent " + std::to_string(i), 40, static_cast<std::size_t>(i % 2)));
     }
     cluster.wait("tokens of all streams", [&] {
         return std::all_of(answers.begin(), answers.end(), [](const AnswerPtr &answer) {
             return answer->events >= 3;
         });
     });
-    const AnswerPtr crashing = cluster.ask(crashInput, 10);
+    const AnswerPtr crashing = cluster.requestCompletion(crashInput, 10);
     cluster.wait("the refusal", [&] {
-        return crashing->isOver;
+        return crashing->isEnded;
     });
     BOOST_TEST(crashing->status == 422);
     BOOST_TEST(findHeader(crashing->headers, "parsley-outcome") == "unknown");
     BOOST_TEST(countCrashedEngines(cluster) == 2u);
     for (std::size_t i = 0; i < answers.size(); ++i) {
         cluster.wait("an answer", [&] {
-            return answers[i]->isOver;
+            return answers[i]->isEnded;
         });
-        BOOST_TEST(answers[i]->text == cluster.expected("innocent " + std::to_string(i), 40));
+        BOOST_TEST(answers[i]->text == cluster.expectedText("innocent " + std::to_string(i), 40));
     }
     for (std::size_t entry = 0; entry < 2; ++entry) {
-        const AnswerPtr again = cluster.ask(crashInput, 10, entry);
+        const AnswerPtr again = cluster.requestCompletion(crashInput, 10, entry);
         cluster.wait("the refusal", [&] {
-            return again->isOver;
+            return again->isEnded;
         });
         BOOST_TEST(again->status == 422);
         BOOST_TEST(findHeader(again->headers, "parsley-outcome") == "not-run");
@@ -120,10 +120,10 @@
     // either retries, so that it costs two engines, not four.
     Cluster cluster(slowEngines(5));
     crashEnginesOnInput(cluster);
-    const AnswerPtr a = cluster.ask(crashInput, 10, 0);
-    const AnswerPtr b = cluster.ask(crashInput, 10, 1);
+    const AnswerPtr a = cluster.requestCompletion(crashInput, 10, 0);
+    const AnswerPtr b = cluster.requestCompletion(crashInput, 10, 1);
     cluster.wait("both refusals", [&] {
-        return a->isOver && b->isOver;
+        return a->isEnded && b->isEnded;
     });
     BOOST_TEST(a->status == 422);
     BOOST_TEST(b->status == 422);
@@ -134,9 +134,9 @@
 {
     Cluster cluster(slowEngines(4));
     crashEnginesOnInput(cluster);
-    const AnswerPtr first = cluster.ask(crashInput, 10);
+    const AnswerPtr first = cluster.requestCompletion(crashInput, 10);
     cluster.wait("the refusal", [&] {
-        return first->isOver;
+        return first->isEnded;
     });
     cluster.killEntry(1);
     cluster.startEntry(1);
@@ -146,9 +146,9 @@
     cluster.wait("the new entry to be ready", [&] {
         return cluster.entries[1]->isReady();
     });
-    const AnswerPtr again = cluster.ask(crashInput, 10, 1);
+    const AnswerPtr again = cluster.requestCompletion(crashInput, 10, 1);
     cluster.wait("the refusal", [&] {
-        return again->isOver;
+        return again->isEnded;
     });
     BOOST_TEST(again->status == 422);
     BOOST_TEST(countCrashedEngines(cluster) == 2u);
@@ -159,23 +159,23 @@
     // The engines no longer crash on the input, and the operator allows it by its fingerprint in the service's section.
     Cluster cluster(slowEngines(4));
     crashEnginesOnInput(cluster);
-    const AnswerPtr first = cluster.ask(crashInput, 10);
+    const AnswerPtr first = cluster.requestCompletion(crashInput, 10);
     cluster.wait("the refusal", [&] {
-        return first->isOver;
+        return first->isEnded;
     });
     const std::string fingerprint = suspectInputs(cluster, 0)[0]["fingerprint"];
     for (const auto &engine : cluster.engines) {
         engine->crashOn("");
     }
-    std::string text = usualConfiguration();
+    std::string text = defaultConfiguration();
     text.replace(text.find("adapter = clay\n[service.booking]"), 15, "adapter = clay\nallow-inputs = " + fingerprint + "\n");
     cluster.apply(text);
-    const AnswerPtr again = cluster.ask(crashInput, 10);
+    const AnswerPtr again = cluster.requestCompletion(crashInput, 10);
     cluster.wait("the answer", [&] {
-        return again->isOver;
+        return again->isEnded;
     });
     BOOST_TEST(again->status == 200);
-    BOOST_TEST(again->text == cluster.expected(crashInput, 10));
+    BOOST_TEST(again->text == cluster.expectedText(crashInput, 10));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -38,11 +38,11 @@
 /// Asks, waits until some tokens are out, and returns the engine that carries `stage`.
 std::size_t askAndFind(Cluster &cluster, AnswerPtr &answer, std::size_t stage, std::uint32_t afterTokens = 10)
 {
-    answer = cluster.ask(question, answerTokens);
+    answer = cluster.requestCompletion(question, answerTokens);
     cluster.wait("the first tokens", [&] {
-        return answer->events >= afterTokens || answer->isOver;
+        return answer->events >= afterTokens || answer->isEnded;
     });
-    BOOST_REQUIRE(!answer->isOver);
+    BOOST_REQUIRE(!answer->isEnded);
     const std::size_t engine = cluster.engineOfStage(stage);
     BOOST_REQUIRE(engine < cluster.engines.size());
     return engine;
@@ -51,10 +51,10 @@
 void checkAnswer(Cluster &cluster, const AnswerPtr &answer)
 {
     cluster.wait("the end of the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->hasDone);
-    BOOST_TEST(answer->text == cluster.expected(question, answerTokens));
+    BOOST_TEST(answer->text == cluster.expectedText(question, answerTokens));
 }
 
 /// Positions that an engine applied for any stream.
@@ -114,7 +114,7 @@
     askAndFind(cluster, answer, 0);
     std::this_thread::sleep_for(milliseconds(1500));
     checkAnswer(cluster, answer);
-    const std::string metrics = cluster.operate("GET", "/operator/v1/metrics").body;
+    const std::string metrics = cluster.sendOperatorRequest("GET", "/operator/v1/metrics").body;
     BOOST_TEST(metrics.find("parsley_stages_replaced_total 0\n") != std::string::npos);
 }
 
@@ -171,7 +171,7 @@
     // Each range has one holder. Its sidecar is killed and another one starts in its place a moment later, with a new
     // incarnation. Meanwhile the stream has no chain; the caller waits, and then gets the rest of its answer.
     ClusterOptions options = slowEngines();
-    options.holders = 1;
+    options.enginesPerRange = 1;
     Cluster cluster(options);
     AnswerPtr answer;
     const std::size_t engine = askAndFind(cluster, answer, 1);
@@ -209,7 +209,7 @@
     askAndFind(cluster, answer, 0);
     cluster.killEntry(0);
     cluster.wait("the caller's connection to break", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(!answer->hasDone);
     cluster.wait("sidecars and engines to be free", [&] {
@@ -228,7 +228,7 @@
     // The caller closes its connection in the middle of an answer. The entry tells the stages, and the engines stop
     // long before the answer would have ended.
     Cluster cluster(slowEngines());
-    const AnswerPtr answer = cluster.ask(question, 4000);
+    const AnswerPtr answer = cluster.requestCompletion(question, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 3;
     });
@@ -249,7 +249,7 @@
     // step comes back; without that the engine's KV cache fills up with streams that nobody reads.
     Cluster cluster(slowEngines());
     for (int i = 0; i < 60; ++i) {
-        const AnswerPtr answer = cluster.ask("gone " + std::to_string(i), 4000);
+        const AnswerPtr answer = cluster.requestCompletion("gone " + std::to_string(i), 4000);
         cluster.idle(milliseconds(i % 12));
         answer->call->cancel();
     }
@@ -266,7 +266,7 @@
     // The engine of a stage hangs; the stage is replaced, and its sidecar, which is well, is told at once and not only at
     // the end of the answer, so that its engine can use the memory when it comes back.
     Cluster cluster(slowEngines(milliseconds(300)));
-    AnswerPtr answer = cluster.ask(question, 4000);
+    AnswerPtr answer = cluster.requestCompletion(question, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 5;
     });
@@ -278,7 +278,7 @@
     cluster.wait("the sidecar to be free", [&] {
         return cluster.sidecars[engine]->open() == 0;
     });
-    BOOST_TEST(!answer->isOver);
+    BOOST_TEST(!answer->isEnded);
 }
 
 BOOST_AUTO_TEST_CASE(caller_of_a_whole_answer_hangs_up)
@@ -308,9 +308,9 @@
         const nlohmann::json status = nlohmann::json::parse(cluster.entries[0]->status());
         return status["coverage"]["assistant@v1"]["10-22"] == 0;
     });
-    const AnswerPtr answer = cluster.ask(question, 5);
+    const AnswerPtr answer = cluster.requestCompletion(question, 5);
     cluster.wait("the refusal", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->status == 503);
     BOOST_TEST(findHeader(answer->headers, "parsley-outcome") == "not-run");
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -129,7 +129,7 @@
     cluster.applications[0]->setSlow(milliseconds(0));
     HttpClientRequest request = call("GET", "/services/booking/bytes?count=100000000&chunk=100000000");
     request.maxBodyBytes = SIZE_MAX;
-    const auto large = cluster.begin(request);
+    const auto large = cluster.sendAsync(request);
     const HttpResult other = cluster.send(call("GET", "/services/booking/echo"));
     BOOST_TEST(other.status == 200);
     cluster.wait("the large answer", [&] {
@@ -198,7 +198,7 @@
     for (const auto &application : cluster.applications) {
         application->setSlow(milliseconds(300));
     }
-    const auto result = cluster.begin(post("/services/booking/bookings", R"({"wheel": "w1"})"));
+    const auto result = cluster.sendAsync(post("/services/booking/bookings", R"({"wheel": "w1"})"));
     cluster.wait("the hand-over", [&] {
         return cluster.sidecars[6]->open() + cluster.sidecars[7]->open() > 0;
     });
@@ -215,7 +215,7 @@
 BOOST_AUTO_TEST_CASE(a_late_answer_is_unknown)
 {
     ClusterOptions options;
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 200ms");
     Cluster cluster(options);
     cluster.applications[0]->setSlow(milliseconds(1500));
@@ -255,7 +255,7 @@
 {
     Cluster cluster;
     cluster.applications[0]->setSlow(milliseconds(400));
-    const auto first = cluster.begin(keyedBooking("k1"), 0);
+    const auto first = cluster.sendAsync(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.entries[0]->open() == 1;
     });
@@ -271,8 +271,8 @@
 BOOST_AUTO_TEST_CASE(two_entries_get_the_same_key_at_once)
 {
     Cluster cluster;
-    const auto a = cluster.begin(keyedBooking("k1"), 0);
-    const auto b = cluster.begin(keyedBooking("k1"), 1);
+    const auto a = cluster.sendAsync(keyedBooking("k1"), 0);
+    const auto b = cluster.sendAsync(keyedBooking("k1"), 1);
     cluster.wait("both", [&] {
         return a->has_value() && b->has_value();
     });
@@ -296,7 +296,7 @@
 {
     Cluster cluster;
     cluster.applications[0]->setSlow(milliseconds(200));
-    const auto first = cluster.begin(keyedBooking("k1"), 0);
+    const auto first = cluster.sendAsync(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.entries[0]->open() == 1;
     });
@@ -352,11 +352,11 @@
     // The caller sends the key again at the other entry. The first call may have run: the key is never run again; after
     // the call's deadline has passed the caller is told `unknown` for good.
     ClusterOptions options;
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
     Cluster cluster(options);
     cluster.applications[0]->setSlow(milliseconds(100));
-    const auto first = cluster.begin(keyedBooking("k1"), 0);
+    const auto first = cluster.sendAsync(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.sidecars.back()->open() == 1;
     });
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -14,7 +14,7 @@
 
 json reportLine(Cluster &cluster, const std::string &by, const std::string &name, std::size_t entry = 0)
 {
-    const HttpResult result = cluster.operate("GET", "/operator/v1/report?by=" + by, {}, {}, entry);
+    const HttpResult result = cluster.sendOperatorRequest("GET", "/operator/v1/report?by=" + by, {}, {}, entry);
     BOOST_REQUIRE(result.status == 200);
     const json report = json::parse(result.body);
     for (const json &line : report["lines"]) {
@@ -62,9 +62,9 @@
     std::size_t promptTokens = 0;
     for (int i = 0; i < 10; ++i) {
         const std::string prompt = "question " + std::to_string(i);
-        const AnswerPtr answer = cluster.ask(prompt, 8, static_cast<std::size_t>(i % 2));
+        const AnswerPtr answer = cluster.requestCompletion(prompt, 8, static_cast<std::size_t>(i % 2));
         cluster.wait("an answer", [&] {
-            return answer->isOver;
+            return answer->isEnded;
         });
         const auto reference = StandIn::referenceAnswer("user: " + prompt + "\n", {"assistant", "v1", "clay"}, 32, 8);
         tokens += reference.tokens.size();
@@ -105,9 +105,9 @@
     Cluster cluster(quickFlush());
     for (int i = 0; i < 6; ++i) {
         cluster.platform.faults().loseAnswers = 1;
-        const AnswerPtr answer = cluster.ask("question " + std::to_string(i), 3);
+        const AnswerPtr answer = cluster.requestCompletion("question " + std::to_string(i), 3);
         cluster.wait("an answer", [&] {
-            return answer->isOver;
+            return answer->isEnded;
         });
         cluster.idle(milliseconds(120));
     }
@@ -123,19 +123,19 @@
 {
     Cluster cluster(quickFlush());
     cluster.platform.faults().isDown = true;
-    const AnswerPtr answer = cluster.ask("question", 3);
+    const AnswerPtr answer = cluster.requestCompletion("question", 3);
     cluster.wait("an answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
-    BOOST_TEST(cluster.operate("GET", "/operator/v1/report").status == 503);
+    BOOST_TEST(cluster.sendOperatorRequest("GET", "/operator/v1/report").status == 503);
     cluster.platform.faults().isDown = false;
     cluster.wait("the counters to be written", [&] {
-        const HttpResult result = cluster.operate("GET", "/operator/v1/report?by=service", {}, {}, 1);
+        const HttpResult result = cluster.sendOperatorRequest("GET", "/operator/v1/report?by=service", {}, {}, 1);
         return result.status == 200 && result.body.find("\"answered\":1") != std::string::npos;
     });
-    BOOST_TEST(cluster.operate("GET", "/operator/v1/report?by=colour").status == 400);
-    BOOST_TEST(cluster.operate("GET", "/operator/v1/report?from=yesterday").status == 400);
-    BOOST_TEST(json::parse(cluster.operate("GET", "/operator/v1/report?from=2020-01-01&to=2020-01-02").body)["lines"].empty());
+    BOOST_TEST(cluster.sendOperatorRequest("GET", "/operator/v1/report?by=colour").status == 400);
+    BOOST_TEST(cluster.sendOperatorRequest("GET", "/operator/v1/report?from=yesterday").status == 400);
+    BOOST_TEST(json::parse(cluster.sendOperatorRequest("GET", "/operator/v1/report?from=2020-01-01&to=2020-01-02").body)["lines"].empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
