--- a/src/entry/configuration_manager.cpp
+++ b/src/entry/configuration_manager.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Rows and objects, [SECTION] Taking, [SECTION] Polling, [SECTION] Applying, [SECTION] ConfigurationKeeper
+// Index: [SECTION] Rows and objects, [SECTION] In force, [SECTION] Polling, [SECTION] Applying, [SECTION] ConfigurationManager
 #include "entry/configuration_manager.h"
 
 #include "base/digest.h"
@@ -19,21 +19,21 @@
 constexpr const char *currentRow = "current";
 constexpr const char *historyTable = "configuration-history";
 constexpr const char *objectPrefix = "configuration-";
-constexpr std::size_t maxChangesSinceSnapshot = 32; ///< a process that starts with no peers reads at most so many objects
-constexpr int maxTransactAttempts = 4;              ///< of one accepted file whose answers are lost
+constexpr std::size_t maxChangesSinceSnapshot = 32; ///< limits the objects that a process reads when it starts without peers
+constexpr int maxTransactAttempts = 4;              ///< for one file, if responses of the store are lost
 
 namespace
 {
 
-/// Value of the current row.
+/// Contents of the row that names the current configuration.
 struct CurrentRow {
-    ConfigurationVersion version;     ///< the row's own version
+    ConfigurationVersion version;     ///< the row's version in the store
     std::string digest;               ///< of the configuration
     std::vector<std::string> objects; ///< digests of objects: a snapshot, then changes
-    std::string writeId;              ///< of the write that made it
+    std::string writeId;              ///< identifies the write that produced this row
 };
 
-/// What is written to the row; its version comes from the store.
+/// Encodes the value of the row; the version is the store's own.
 std::string encodeCurrent(const CurrentRow &row)
 {
     return json{{"digest", row.digest}, {"objects", row.objects}, {"write", row.writeId}}.dump();
@@ -52,7 +52,7 @@
     return true;
 }
 
-/// A difference as an object; an update from version 0 is a snapshot.
+/// Encodes a change as an object; an update from version 0 is a snapshot.
 std::string encodeObject(const ConfigurationUpdate &update)
 {
     json sections = json::object();
@@ -78,7 +78,7 @@
 
 std::string historyKey(ConfigurationVersion version)
 {
-    // Newest first in a scan, which goes upwards.
+    // Scans go in ascending order; the inverted version puts the newest first.
     return absl::StrCat(absl::Dec(UINT64_MAX - version.value, absl::kZeroPad20));
 }
 
@@ -88,24 +88,24 @@
     return sign + difference.name;
 }
 
-/// A file on its way to being accepted.
+/// An operator's file that is being applied.
 struct PendingApply {
-    Configuration wanted;                          ///< as parsed
-    std::optional<ConfigurationVersion> ifMatch;   ///< version the operator named
-    bool isDryRun = false;                         ///< changes nothing
+    Configuration wanted;                          ///< parsed from the file
+    std::optional<ConfigurationVersion> ifMatch;   ///< version that the operator expects to be in force
+    bool isDryRun = false;                         ///< only check, don't write
     std::function<void(const ApplyResult &)> done; ///< called once
-    ApplyResult result;                            ///< filled on the way
+    ApplyResult result;                            ///< completed step by step
     CurrentRow next;                               ///< row to write
     std::string object;                            ///< object to write
-    int attemptsLeft = maxTransactAttempts;        ///< of the transaction
+    int attemptsLeft = maxTransactAttempts;        ///< for putting the object and for the transaction
 };
 using PendingApplyPtr = std::shared_ptr<PendingApply>;
 
-/// Objects being read one after the other.
+/// State of reading the objects of a row, one after another.
 struct LoadProgress {
-    CurrentRow row;        ///< what they make up
+    CurrentRow row;        ///< row that names the objects
     std::size_t next = 0;  ///< index of the next object
-    Configuration partial; ///< so far; its version counts objects
+    Configuration partial; ///< result of the objects read so far; its version is their number
 };
 
 } // namespace
@@ -115,10 +115,10 @@
     Store &store;
     Configuration configuration;
     ConfigurationLog log;
-    CurrentRow row; ///< last read or written; its objects make up its digest
+    CurrentRow row; ///< newest row read or written
     std::function<void()> changed;
-    bool hasReadCurrentRow = false;   ///< since the start
-    ConfigurationVersion peerVersion; ///< newest heard of from a peer in service
+    bool hasReadCurrentRow = false;   ///< since this process started
+    ConfigurationVersion peerVersion; ///< newest version announced by a ready peer
     bool hasReadyPeer = false;
     bool isPolling = false;
     std::uint64_t bytesSent = 0; ///< of section texts
@@ -143,7 +143,7 @@
     return absl::FormatTime("%Y-%m-%dT%H:%M:%SZ", absl::FromChrono(context.clock.wallTime()), absl::UTCTimeZone());
 }
 
-// [SECTION] Taking
+// [SECTION] In force
 
 void ConfigurationManager::Private::activate(Configuration fresh)
 {
@@ -225,7 +225,7 @@
     pending->done(pending->result);
 }
 
-/// The row was read and is what is in force here: checks the operator's condition and makes the next row.
+/// Checks the operator's condition and prepares the next row. The row in the store is the version in force here.
 void ConfigurationManager::Private::prepare(const PendingApplyPtr &pending)
 {
     pending->result.differences = compareConfigurations(configuration, pending->wanted);
@@ -266,7 +266,7 @@
             return transact(pending);
         }
         if (status == StoreStatus::Unknown && --pending->attemptsLeft > 0) {
-            return putObject(pending); // the same name and content: it can't do harm twice
+            return putObject(pending); // idempotent: same name and content
         }
         finish(pending, ApplyOutcome::Unavailable, configuration.version);
     });
@@ -295,7 +295,7 @@
             return resolve(pending);
         case StoreStatus::NotFound:
         case StoreStatus::Unavailable: {
-            // If an earlier try was lost it may have taken effect.
+            // An earlier attempt whose response was lost may have taken effect.
             const bool wasLost = pending->attemptsLeft < maxTransactAttempts;
             return finish(pending, wasLost ? ApplyOutcome::Unknown : ApplyOutcome::Unavailable, configuration.version);
         }
@@ -303,8 +303,8 @@
     });
 }
 
-/// Whether the write took effect is not known, or another one came first. The history row of the wanted version tells:
-/// it is written together with the current row, once, and stays.
+/// Finds out whether the write took effect, after a lost response or a conflict. The history row of the wanted version decides:
+/// it is written once, in the same transaction as the current row, and never changes.
 void ConfigurationManager::Private::resolve(const PendingApplyPtr &pending)
 {
     --pending->attemptsLeft;
@@ -321,7 +321,7 @@
             return finish(pending, ApplyOutcome::Unknown, configuration.version);
         }
         if (status == StoreStatus::NotFound) {
-            return transact(pending); // the same write id and condition: it can take effect once only
+            return transact(pending); // same write id and condition: it takes effect at most once
         }
         resolve(pending);
     });
@@ -332,14 +332,14 @@
     if (pending->next.version > row.version) {
         row = pending->next;
     }
-    // A peer may have pushed a newer one while the answers were lost.
+    // A peer may have sent a newer version while the store's responses were lost.
     if (pending->wanted.version > configuration.version) {
         activate(pending->wanted);
     }
     finish(pending, ApplyOutcome::Accepted, pending->next.version);
 }
 
-// [SECTION] ConfigurationKeeper
+// [SECTION] ConfigurationManager
 
 ConfigurationManager::ConfigurationManager(EntryContext &context, Store &store)
     : d(new Private{context, store})
@@ -383,7 +383,7 @@
             d->row = current;
         }
         if (current.version != d->configuration.version) {
-            // Another entry accepted one just now; this one catches up, and the operator, who has not seen it, asks again.
+            // Another entry has accepted a version that this one lacks: fetch it, and let the operator review it and retry.
             poll();
             return d->finish(pending, ApplyOutcome::Conflict, current.version);
         }
--- a/src/entry/configuration_manager.h
+++ b/src/entry/configuration_manager.h
@@ -1,8 +1,8 @@
-// The configuration at an entry: accepting files, the version in force, and seeing to it that peers and sidecars have it.
+// The configuration at an entry: accepts files, holds the version in force, and distributes it to peers and sidecars.
 //
-// The one authority is a row of the table service, written by compare-and-set. It names content-addressed objects: a
-// snapshot and the changes since. Entries hand changes to each other and to their sidecars; the row is read now and
-// then, so that a process that missed a change still finds it. Nothing older than what is in force is ever taken.
+// The single source of truth is a row of the table service, written by compare-and-set. It names content-addressed objects: a
+// snapshot and the changes since. Entries send changes to each other and to their sidecars; each entry also polls the row, so
+// that a process that missed a change still gets it. A version older than the one in force is never applied.
 #pragma once
 
 #include "entry/context.h"
@@ -13,63 +13,63 @@
 namespace Parsleytrail
 {
 
-/// How an operator's file ended.
+/// Outcome of applying an operator's file.
 enum class ApplyOutcome {
-    Accepted,    ///< in force here, on its way to the others
-    Unchanged,   ///< the file equals what is in force
-    DryRun,      ///< it would be accepted
-    Invalid,     ///< it has problems
-    Conflict,    ///< another version is in force than the one the operator named, or another file came first
-    Unavailable, ///< the store is away: not accepted
-    Unknown      ///< the store's answers were lost: it may be accepted yet
+    Accepted,    ///< in force at this entry and being distributed
+    Unchanged,   ///< the file equals the configuration in force
+    DryRun,      ///< the file would be accepted
+    Invalid,     ///< the file has errors
+    Conflict,    ///< the version in force is not the one the operator named, or another file was accepted first
+    Unavailable, ///< the store is unavailable: not accepted
+    Unknown      ///< the store's responses were lost: the file may have been accepted
 };
 
-/// Result of an operator's file.
+/// Result of applying an operator's file.
 struct ApplyResult {
-    ApplyOutcome outcome = ApplyOutcome::Unavailable; ///< how it ended
-    ConfigurationVersion version;                     ///< accepted, or in force for the others
-    std::vector<IniProblem> problems;                 ///< for Invalid
-    std::vector<SectionDifference> differences;       ///< what changes
+    ApplyOutcome outcome = ApplyOutcome::Unavailable; ///< whether the file was accepted, or why not
+    ConfigurationVersion version;                     ///< the accepted version, or the one in force if the file was not accepted
+    std::vector<IniProblem> problems;                 ///< errors of the file, for Invalid
+    std::vector<SectionDifference> differences;       ///< sections that the file changes
 };
 
-/// A version in the history.
+/// An accepted version in the configuration history.
 struct HistoryEntry {
-    ConfigurationVersion version;     ///< accepted version
+    ConfigurationVersion version;     ///< number of the version
     std::string digest;               ///< of the configuration
     std::string entry;                ///< entry that accepted it
     std::string time;                 ///< UTC, RFC 3339
     std::vector<std::string> changes; ///< "+section", "-section", "~section"
 };
 
-/// Keeps the configuration.
+/// Manages the configuration of this entry.
 class ConfigurationManager
 {
 public:
     ConfigurationManager(EntryContext &context, Store &store);
     ~ConfigurationManager();
 
-    /// What is in force; version 0 before any is known.
+    /// The configuration in force; version 0 until one has been received or read.
     const Configuration &inForce() const;
-    /// Called after each change of what is in force.
+    /// Called after each change of the configuration in force.
     void onChanged(std::function<void()> handler);
 
     void apply(const std::string &text, std::optional<ConfigurationVersion> ifMatch, bool isDryRun, std::function<void(const ApplyResult &)> done);
-    /// Newest first, at most `limit`.
+    /// Reads the accepted versions, newest first, at most `limit`.
     void history(int limit, std::function<void(StoreStatus, const std::vector<HistoryEntry> &)> done);
 
-    /// Reads the row and, if it is newer, the objects it names.
+    /// Reads the current row and, if it is newer than the version in force, the objects it names.
     void poll();
-    /// Takes an update from a peer.
+    /// Applies an update from a peer.
     void handleUpdate(const LinkPtr &link, const ConfigurationUpdate &update);
-    /// Sends a peer what it lacks.
+    /// Sends the changes since version `known`, or a snapshot; nothing if `known` is not older than the version in force.
     void sendTo(const LinkPtr &link, ConfigurationVersion known, SectionScope scope);
 
-    /// Whether this process has good reason to hold the newest configuration: it read the row since its start, or a
-    /// peer that serves gave it one while the store was away.
+    /// Whether the configuration in force can be taken as current: this process has read the row since its start, or it has at
+    /// least the newest version that a ready peer announced (which works while the store is unavailable).
     bool isTrusted() const;
     /// Bytes of section texts sent to peers and sidecars.
     std::uint64_t bytesSent() const;
-    /// A peer in service has this version in force.
+    /// A ready peer announced that it has this version in force.
     void recordPeerVersion(ConfigurationVersion version);
 
 private:
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Parts, [SECTION] Frames, [SECTION] Ticks, [SECTION] Views, [SECTION] Entry
+// Index: [SECTION] Components, [SECTION] Frames, [SECTION] Ticks, [SECTION] Views, [SECTION] Entry
 #include "entry/entry.h"
 
 #include "base/log.h"
@@ -14,10 +14,10 @@
 using nlohmann::json;
 
 constexpr milliseconds tickInterval{50};
-constexpr milliseconds sidecarAnnounceInterval{10000}; ///< between announcements of an entry to its sidecars
-constexpr milliseconds finalWriteTimeout{5000};        ///< wait for the store at the end of a drain
+constexpr milliseconds sidecarAnnounceInterval{10000}; ///< between announcements of this entry to sidecars
+constexpr milliseconds finalWriteTimeout{5000};        ///< at the end of a drain, for writes to the store
 
-// [SECTION] Parts
+// [SECTION] Components
 
 struct Entry::Private {
     EntrySettings settings;
@@ -52,7 +52,7 @@
     Timer drainTimer;
     TimePoint lastTickAt{};
     TimePoint drainStartedAt{};
-    TimePoint idleSince{}; ///< no request open, and something to write; zero otherwise
+    TimePoint idleSince{}; ///< when a drain began to wait only for writes to the store; zero before
     TimePoint nextSidecarAnnounce{};
     std::function<void()> drained;
 
@@ -268,8 +268,8 @@
     case LoadReport::messageId:
         return decodeAnd<LoadReport>(frame, [&](const LoadReport &report) {
             if (!targets->handleLoadReport(report)) {
-                // Unknown here, most likely since this process has just started: the sidecar announces itself in full to an
-                // entry that it hears of for the first time.
+                // This entry has no announcement of the target, most likely because it has just started. A sidecar sends a full
+                // announcement to an entry whose announcement it receives for the first time.
                 peers->announceTo(from);
             }
         });
@@ -303,8 +303,8 @@
 
 void Entry::Private::distributeConfiguration()
 {
-    // Hand it on at once: to a few peers, which hand it on in turn, and to this entry's sidecars. Whoever misses it is
-    // found by the versions in the announcements.
+    // Send the change at once to selected peers, which forward it in turn, and to the sidecars of this entry's targets. A
+    // process that misses it is detected by the version in its announcements.
     for (const auto &[id, view] : peers->views()) {
         const Address address{view.last.host, view.last.port};
         const std::vector<Address> fanOut = peers->fanOut();
@@ -333,8 +333,8 @@
 void Entry::Private::tick()
 {
     const TimePoint now = clock.now();
-    // A process that was stopped or starved finds everybody silent before it has read what they sent. Taken for silence, it
-    // would give up every stream that it has open, and refuse new ones.
+    // After a pause this process has not yet read what others sent meanwhile. If the pause counted towards their timeouts, it
+    // would abandon all its open streams and refuse new ones.
     const milliseconds processPause = processPauseBefore(lastTickAt, now, tickInterval);
     lastTickAt = now;
     targets->tick(processPause);
@@ -396,8 +396,8 @@
     if (hasUnwritten && idleSince == TimePoint{}) {
         idleSince = now;
     }
-    // The store may be away for hours, and the platform wants its instance back. What is lost is safe to lose: a key's end
-    // that is not written reads as `unknown`, and counters fall short by what was not flushed.
+    // The store may be unavailable for hours, and the platform waits to reclaim the instance. Losing these writes is safe: a key
+    // without a written outcome reads as `unknown`, and the usage counters lack what was not flushed.
     if (hasUnwritten && now - idleSince < finalWriteTimeout) {
         usageRecorder->flush([](StoreStatus) {});
         return;
@@ -463,7 +463,7 @@
 
 Entry::~Entry()
 {
-    // Servers and links first: their handlers use the parts below.
+    // Servers first, that of the peers' links included: their handlers use the other components.
     d->callers.reset();
     d->operators.reset();
     d->peerServer.reset();
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,8 +1,8 @@
-// The process that callers and operators speak to.
+// The entry: the process that callers and operators send requests to.
 //
 //     Entry entry(loop, clock, settings);
 //     entry.start();                                // listens, announces itself, reads the configuration
-//     entry.drain([&] { loop.stop(); });            // not ready at once; calls back when the last request has ended
+//     entry.drain([&] { loop.stop(); });            // not ready from now on; calls back after the last request
 #pragma once
 
 #include "base/address.h"
@@ -16,31 +16,32 @@
 namespace Parsleytrail
 {
 
-/// One entry on the loop of its process.
+/// One entry, running on the event loop of its process.
 class Entry
 {
 public:
     Entry(EventLoop &loop, const Clock &clock, EntrySettings settings);
     ~Entry();
 
-    /// Listens. Fails with the step that failed.
+    /// Opens the ports and starts the timers. The error names the step that failed.
     Result<void> start();
-    /// Is not ready from now on; `finished` is called when nothing is open any more, or after drain-timeout.
+    /// Stops being ready. Calls `finished` once no request is open, or after drain-timeout; up to 5 s later if writes to the
+    /// store are outstanding.
     void drain(std::function<void()> finished);
 
     Address callerAddress() const;
     Address operatorAddress() const;
     Address peerAddress() const;
     History &history();
-    /// Whether the balancer may send callers here.
+    /// Whether a load balancer may send callers here.
     bool isReady() const;
-    /// Version in force.
+    /// Version of the configuration in force.
     std::uint64_t configurationVersion() const;
-    /// Requests open.
+    /// Number of open requests.
     std::size_t open() const;
-    /// The status, JSON.
+    /// Status as JSON, for operators.
     std::string status() const;
-    /// The state dump, JSON.
+    /// State dump as JSON: the status with open streams, open calls and internal counters.
     std::string state() const;
 
 private:
--- a/src/entry/keyed_calls.cpp
+++ b/src/entry/keyed_calls.cpp
@@ -15,21 +15,21 @@
 // [SECTION] Rows
 
 constexpr const char *callTable = "calls";
-constexpr int maxInsertAttempts = 3;             ///< inserts of one row whose answers are lost
-constexpr milliseconds graceAfterDeadline{5000}; ///< a call that has not ended this long after its deadline never will
-constexpr milliseconds writeRetryInterval{500};  ///< between tries to write one end
+constexpr int maxInsertAttempts = 3;             ///< for one row, if responses of the store are lost
+constexpr milliseconds graceAfterDeadline{5000}; ///< after its deadline a call counts as running for this long, then as lost
+constexpr milliseconds writeRetryInterval{500};  ///< between attempts to write one outcome
 
 namespace
 {
 
-/// Value of a row.
+/// Contents of a key's row.
 struct KeyRow {
     std::string state;           ///< started, answered, not-run or unknown
     std::string bodyDigest;      ///< see CallKey
-    std::string writeId;         ///< of the insert
-    std::int64_t startedMs = 0;  ///< wall time
-    std::int64_t deadlineMs = 0; ///< longest time of the call
-    StoredResponse answer;       ///< for state answered
+    std::string writeId;         ///< identifies the insert
+    std::int64_t startedMs = 0;  ///< wall time, Unix epoch
+    std::int64_t deadlineMs = 0; ///< longest time the call may take
+    StoredResponse answer;       ///< only for state answered
 };
 
 std::string encodeRow(const KeyRow &row)
@@ -68,17 +68,17 @@
 
 std::string rowKey(const CallKey &key)
 {
-    // Keys are chosen by callers; the digest keeps them to a length and an alphabet.
+    // Callers choose the keys; the digest bounds their length and alphabet.
     return key.workspace.value + "/" + key.service.value + "/" + sha256Hex(key.key);
 }
 
-/// A call of this entry that holds its key.
+/// A key that a call of this entry has reserved.
 struct HeldKey {
-    KeyRow row;                ///< as it is, or will be, in the store
+    KeyRow row;                ///< contents in the store, or to be written there
     std::uint64_t version = 0; ///< of the row in the store
-    bool isRunning = true;     ///< finish() has not been called
-    bool isWriting = false;    ///< the end is on its way to the store
-    TimePoint nextWrite{};     ///< when to try again
+    bool isRunning = true;     ///< finish() has not been called yet
+    bool isWriting = false;    ///< a write of the outcome is in progress
+    TimePoint nextWrite{};     ///< earliest time of the next attempt
 };
 
 } // namespace
@@ -88,7 +88,7 @@
 
     EntryContext &context;
     Store &store;
-    std::map<std::string, HeldKey> held; ///< by row key: running here, or ended and not yet written
+    std::map<std::string, HeldKey> held; ///< by row key: running here, or with an unwritten outcome
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     void insert(const std::string &name, KeyRow row, std::uint64_t ifVersion, int attemptsLeft, Done done);
@@ -120,12 +120,12 @@
             return readBack(name, row, attemptsLeft, done);
         }
         if (status == StoreStatus::Unknown && attemptsLeft > 1) {
-            // Sent again with the same write id: if the first one took effect, this one conflicts and is read back.
+            // Same write id: if the lost insert took effect, this one conflicts and the row is read back.
             return insert(name, row, ifVersion, attemptsLeft - 1, done);
         }
         if (status == StoreStatus::Unknown) {
-            // The row may be there. The call is not made, so that the row's end is `not-run`; it is written when the
-            // store is back, and until then the key stays reserved here.
+            // The row may exist. The call is not made, so the outcome is `not-run`; it is written once the store is available
+            // again, and the key stays reserved at this entry until then.
             held[name] = {row, ifVersion + 1, false, false, {}};
             held[name].row.state = "not-run";
         }
@@ -186,8 +186,8 @@
             return;
         }
         it->second.isWriting = false;
-        // Only this entry writes the row while it is `started` by its write id. A conflict therefore means that an
-        // earlier write of the same end took effect, or that the insert never did: both leave nothing to write.
+        // While the row is `started` with this entry's write id, only this entry writes it. A conflict therefore means that an
+        // earlier write of the outcome took effect, or that the insert never did: nothing is left to write in either case.
         const bool isSettled = status == StoreStatus::Ok || status == StoreStatus::Conflict;
         if (isSettled) {
             held.erase(it);
--- a/src/entry/keyed_calls.h
+++ b/src/entry/keyed_calls.h
@@ -1,8 +1,8 @@
-// Calls with an Idempotency-Key: one row of the table service for each key, so that a call sent again, at whichever
-// entry, gets the first answer and is not run a second time.
+// Calls with an Idempotency-Key: one row of the table service for each key, so that a retried call gets the first response
+// at any entry and does not run a second time.
 //
-// The row is inserted before the call is made. An insert whose answer was lost is recognised by its write id. Without
-// the store nobody can tell whether a key was used, so that keyed calls are then refused as not run.
+// The row is inserted before the call is made. An insert whose response was lost is recognised by its write id. Without the
+// store an entry can't tell whether a key was used, so it makes no keyed calls then.
 #pragma once
 
 #include "entry/context.h"
@@ -12,36 +12,36 @@
 namespace Parsleytrail
 {
 
-/// A key of a caller.
+/// A caller's idempotency key and the call it stands for.
 struct CallKey {
     WorkspaceName workspace;  ///< of the caller
     ServiceName service;      ///< called
-    std::string key;          ///< Idempotency-Key
-    std::string bodyDigest;   ///< of method, path and body: the same key may not be used for another call
+    std::string key;          ///< value of Idempotency-Key
+    std::string bodyDigest;   ///< of method, path and body; a key is refused for any other call
     milliseconds deadline{0}; ///< longest time the call may take
 };
 
-/// An answer as it is kept.
+/// A response as it is stored for retries.
 struct StoredResponse {
     int status = 0;      ///< HTTP status
-    HttpHeaders headers; ///< as sent
-    std::string body;    ///< whole
+    HttpHeaders headers; ///< as sent to the caller
+    std::string body;    ///< complete body
 };
 
-/// What is known of a key.
+/// What to do with a call, by the state of its key.
 enum class KeyDecision {
-    Run,             ///< the key is this call's: make the call, then finish()
-    Replay,          ///< the first answer is known
+    Run,             ///< the key is reserved for this call: make it, then call finish()
+    Replay,          ///< the first call's response is stored: send it
     RequestMismatch, ///< the key was used for another call
-    InProgress,      ///< the first call still runs
-    Unknown,         ///< the first call may have run and its answer is lost
-    Unavailable      ///< the store can't say
+    InProgress,      ///< the first call may still be running
+    Unknown,         ///< the first call may have run; its response is lost or was too long to store
+    Unavailable      ///< the state can't be read or written now
 };
 
-/// How a call with a key ended.
+/// Outcome of a call with a key.
 enum class KeyOutcome { Answered, NotRun, Unknown };
 
-/// Keys of calls at this entry and in the store.
+/// Reserves keys in the store and records the outcomes of their calls.
 class KeyedCalls
 {
 public:
@@ -49,12 +49,12 @@
     ~KeyedCalls();
 
     void begin(const CallKey &key, std::function<void(KeyDecision, const StoredResponse &)> done);
-    /// Ends a call that begin() told to run. The end is written until the store has taken it.
+    /// Records the outcome of a call for which begin() decided Run. The write is retried until it succeeds.
     void finish(const CallKey &key, KeyOutcome outcome, StoredResponse answer);
-    /// Writes ends that the store has not taken yet. Called now and then.
+    /// Retries the outcome writes that are due. Called every 50 ms.
     void flush();
 
-    /// Ends not yet written.
+    /// Number of outcomes not yet written.
     std::size_t unwritten() const;
 
 private:
@@ -62,7 +62,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t maxStoredBodyBytes = 64 << 10; ///< longer answers are not kept: a call sent again is told that it ran
-constexpr std::size_t maxHeldKeys = 10000;           ///< beyond it, keyed calls are refused until the store takes some
+constexpr std::size_t maxStoredBodyBytes = 64 << 10; ///< longer responses are not stored: a retry then gets `unknown`, not the response
+constexpr std::size_t maxHeldKeys = 10000;           ///< keys of running calls and unwritten outcomes; at this limit further keyed calls are refused
 
 } // namespace Parsleytrail
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -4,15 +4,15 @@
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(parsley-entry: the process that callers and operators speak to.
+static constexpr const char *helpText = R"(parsley-entry: the process that callers and operators send requests to.
 
 Usage: parsley-entry --settings=FILE [--check]
 
   --settings=FILE  settings (INI, section [entry]); docs/SETTINGS.md lists the keys
-  --check          only check the file; exit 0 if it is right, 2 if not
+  --check          only check the file; exit 0 if it is valid, 2 if not
 
-SIGTERM or SIGINT: not ready from then on; ends when the last request has ended, or after drain-timeout.
-Exit: 0 stopped, 1 could not start, 2 wrong usage or settings.
+SIGTERM or SIGINT: not ready from then on; exits when the last request has ended, or after drain-timeout.
+Exit: 0 stopped, 1 could not start, 2 invalid usage or settings.
 
 Example: parsley-entry --settings=/etc/parsleytrail/entry.ini
 )";
--- a/src/entry/operator_api.cpp
+++ b/src/entry/operator_api.cpp
@@ -72,7 +72,7 @@
     }
 }
 
-/// Version in an If-Match header; nothing if there is none. Returns false if it is malformed.
+/// Reads the version in an If-Match header; leaves `version` empty if there is none or it is `*`. Returns false if malformed.
 static bool readIfMatch(const HttpRequest &request, std::optional<ConfigurationVersion> &version)
 {
     const std::string header = findHeader(request.headers, "If-Match");
@@ -143,7 +143,8 @@
 
 // [SECTION] Report
 
-/// Reads an hour such as 2026-12-03T14 (UTC), or a day; `fallback` if there is none. Returns false if it is malformed.
+/// Reads a query parameter with an hour such as 2026-12-03T14 (UTC) or a day; `fallback` if there is none. Returns false if
+/// malformed.
 static bool readHour(const HttpRequest &request, const char *name, std::int64_t fallback, std::int64_t &hour)
 {
     const std::optional<std::string> text = queryParameter(request.query, name);
@@ -242,7 +243,7 @@
     return item;
 }
 
-/// Holders that take new work, by model and layer range.
+/// Number of engines that accept new work, by model and layer range.
 static json describeCoverage(const std::vector<const TargetView *> &views, TimePoint now)
 {
     json coverage = json::object();
--- a/src/entry/operator_api.h
+++ b/src/entry/operator_api.h
@@ -1,4 +1,4 @@
-// What operators may ask of an entry: apply and read the configuration, its history, and what is in force where.
+// The entry's paths for operators: apply and read the configuration, its history, the report of the served work, and the status.
 #pragma once
 
 #include "entry/configuration_manager.h"
@@ -12,13 +12,14 @@
 namespace Parsleytrail
 {
 
-/// Adds the paths of the configuration to an entry's operator server.
+/// Adds /configuration and /configuration/history to an entry's operator server.
 void addConfigurationPaths(OperatorServer &server, ConfigurationManager &configurationManager);
 
-/// Adds the report of the served work.
+/// Adds /report, the report of the served work.
 void addReportPath(OperatorServer &server, UsageRecorder &usageRecorder, const ConfigurationManager &configurationManager);
 
-/// Entries and targets with their versions, those that lag behind, and which ranges of each model are held.
+/// Describes entries and targets with their configuration versions, those with an older version than this entry's, and the
+/// number of usable engines for each layer range of a model.
 nlohmann::json describeSystem(const EntryContext &context, const ConfigurationManager &configurationManager, const Peers &peers, const Targets &targets);
 
 } // namespace Parsleytrail
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -18,7 +18,7 @@
     std::function<void(const std::vector<TargetId> &)> leaving;
     Address self;
     std::map<EntryId, PeerView> views;
-    std::vector<Address> registeredEntries; ///< entries on the platform's list
+    std::vector<Address> registeredEntries; ///< entries on the platform's membership list that are not leaving
     TimePoint nextPoll{};
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
@@ -27,7 +27,7 @@
     void handleMembership(const std::vector<ListedInstance> &instances);
 };
 
-/// The best of `candidates` for this entry by rendezvous hashing.
+/// Appends the `count` candidates that rendezvous hashing ranks first for this entry.
 static void appendSelected(const EntryContext &context, const std::vector<Address> &candidates, std::size_t count, std::vector<Address> &out)
 {
     std::vector<std::string> names;
@@ -51,7 +51,7 @@
             (view.last.dataCenter == context.settings.dataCenter ? near : far).push_back(address);
         }
     }
-    // Entries not heard yet: where they stand is not known.
+    // No announcement of these entries has been received, so their data centre is unknown.
     for (const std::vector<Address> *unannounced : {&seeds, &registeredEntries}) {
         for (const Address &address : *unannounced) {
             if (seen.insert(address).second) {
--- a/src/entry/peers.h
+++ b/src/entry/peers.h
@@ -1,4 +1,4 @@
-// Other entries: who they are, which configuration they have, and the platform's list that names them.
+// The other entries: their addresses and configuration versions, from their announcements and the platform's membership list.
 #pragma once
 
 #include "entry/context.h"
@@ -11,39 +11,40 @@
 namespace Parsleytrail
 {
 
-/// An entry that was heard.
+/// Another entry, as last announced.
 struct PeerView {
     EntryAnnouncement last;        ///< newest announcement
-    TimePoint lastReceivedAt{};    ///< when it came
-    bool isTimedOut = false;       ///< nothing for silence-timeout
+    TimePoint lastReceivedAt{};    ///< when that announcement was received
+    bool isTimedOut = false;       ///< no announcement for silence-timeout
     bool isNewIncarnation = false; ///< the newest announcement is the first of its incarnation
 };
 
-/// Announces this entry and hears others.
+/// Announces this entry to others and keeps a view of each entry that announces itself.
 class Peers
 {
 public:
-    /// `describe` fills in state and configuration.
+    /// `describe` fills in the state and the configuration version of an announcement of this entry.
     Peers(EntryContext &context, Store &store, Datagrams &datagrams, std::vector<Address> seeds, std::function<void(EntryAnnouncement &)> describe);
     ~Peers();
 
-    /// Called when an entry announced itself.
+    /// Called for each announcement of another entry, unless it is of an older incarnation.
     void onAnnouncement(std::function<void(const EntryAnnouncement &)> handler);
     /// Whether the announcement is the first of an entry's incarnation; only within the handler of onHeard.
     bool isNewIncarnation(const EntryAnnouncement &announcement) const;
-    /// Called when the platform's list was read: targets marked as leaving.
+    /// Called after each read of the platform's membership list with all targets that it marks as leaving.
     void onLeaving(std::function<void(const std::vector<TargetId> &)> handler);
 
     void start(const Address &self);
     void handleAnnouncement(const EntryAnnouncement &announcement);
-    /// Announces now, to peers and to these sidecars.
+    /// Sends an announcement to the selected peers and to these sidecars.
     void announce(const std::vector<Address> &sidecars);
-    /// Announces now to one process.
+    /// Sends an announcement to one process.
     void announceTo(const Address &address);
-    /// Finds silent entries; reads the list if it is time. `stall` is the time for which this process stood still before.
+    /// Marks entries that have timed out and reads the membership list when it is due. `processPause` is the time for which this
+    /// process was paused or its loop was blocked before the call; it doesn't count towards the timeout.
     void tick(milliseconds processPause);
 
-    /// Addresses to hand a change of configuration to: a few in the data centre, a few outside.
+    /// Entries that changes are sent to at once: up to peersInDataCenter in this data centre, up to peersOutside elsewhere.
     std::vector<Address> fanOut() const;
     const std::map<EntryId, PeerView> &views() const;
 
@@ -52,8 +53,8 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t peersInDataCenter = 4;         ///< entries announced to in the own data centre
-constexpr std::size_t peersOutside = 4;              ///< entries announced to elsewhere
-constexpr milliseconds membershipPollInterval{2000}; ///< between reads of the platform's list: 370 entries make 185 reads a second
+constexpr std::size_t peersInDataCenter = 4;         ///< entries of the same data centre to announce to
+constexpr std::size_t peersOutside = 4;              ///< entries of other data centres to announce to
+constexpr milliseconds membershipPollInterval{2000}; ///< between reads of the membership list: 370 entries make 185 reads a second
 
 } // namespace Parsleytrail
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] State, [SECTION] Sending, [SECTION] Ends, [SECTION] Frames, [SECTION] Keys, [SECTION] ServiceCalls
+// Index: [SECTION] State, [SECTION] Sending, [SECTION] Completion, [SECTION] Frames, [SECTION] Keys, [SECTION] ServiceCalls
 #include "entry/service_calls.h"
 
 #include "base/digest.h"
@@ -15,34 +15,34 @@
 
 // [SECTION] State
 
-constexpr std::size_t bodyFrameBytes = 32 << 10; ///< bytes of a body in one frame
-constexpr std::uint32_t maxTargetsPerCall = 3;   ///< for one call
-constexpr milliseconds deadlineMargin{500};      ///< the sidecar's own deadline comes first, and tells more
+constexpr std::size_t bodyFrameBytes = 32 << 10; ///< request body bytes per frame
+constexpr std::uint32_t maxTargetsPerCall = 3;   ///< attempts of one call, each at another target
+constexpr milliseconds deadlineMargin{500};      ///< lets the sidecar's own deadline expire first: its failure report is more precise
 
 namespace
 {
 
 /// An open call.
 struct OpenCall {
-    RequestId id;                  ///< unique in the system
-    ExchangePtr exchange;          ///< the caller
-    Caller caller;                 ///< section is not valid any more
-    UsageOwner owner;              ///< whose work it is
-    ServiceName service;           ///< called
+    RequestId id;                  ///< unique across all entries
+    ExchangePtr exchange;          ///< HTTP exchange with the caller
+    Caller caller;                 ///< its `section` is null: the configuration may change during the call
+    UsageOwner owner;              ///< what the call is counted under
+    ServiceName service;           ///< service called
     std::string path;              ///< below the service, with query
-    milliseconds deadline{0};      ///< longest time
-    TimePoint openedAt{};          ///< request taken
-    bool isNonIdempotent = false;  ///< marked by the file or by a key
-    bool mayRetry = false;         ///< may be handed over a second time
+    milliseconds deadline{0};      ///< longest time the call may take
+    TimePoint openedAt{};          ///< when the request was accepted
+    bool isNonIdempotent = false;  ///< by the configuration or because it has a key
+    bool mayRetry = false;         ///< may be sent to a second target after an unknown outcome
     TargetId target;               ///< current; empty between targets
-    std::string address;           ///< of its sidecar
-    std::uint32_t tried = 0;       ///< targets so far
-    std::set<TargetId> excluded;   ///< targets tried
-    bool hasHead = false;          ///< the answer has begun
-    std::size_t uncredited = 0;    ///< answer bytes that the caller has not taken
-    std::optional<CallKey> key;    ///< Idempotency-Key
-    StoredResponse storedResponse; ///< answer so far, for the key
-    bool isTooLongToStore = false; ///< the answer is over maxKeptBodyBytes
+    std::string address;           ///< address of the target's sidecar
+    std::uint32_t tried = 0;       ///< number of targets tried
+    std::set<TargetId> excluded;   ///< targets that this call was sent to
+    bool hasHead = false;          ///< the response head was received
+    std::size_t uncredited = 0;    ///< response bytes received and not yet credited to the sidecar
+    std::optional<CallKey> key;    ///< set if the call has an Idempotency-Key
+    StoredResponse storedResponse; ///< response so far, to be stored for the key
+    bool isTooLongToStore = false; ///< the response body exceeds maxStoredBodyBytes
 };
 
 bool isIdempotentMethod(const std::string &method)
@@ -50,7 +50,8 @@
     return method == "GET" || method == "HEAD" || method == "OPTIONS" || method == "PUT" || method == "DELETE";
 }
 
-/// Headers that are the router's own business, or that would tell the application the caller's key.
+/// Whether a request header is forwarded to the application. Headers that the router sets or consumes itself are not, nor is
+/// Authorization, which holds the caller's key.
 bool isForwardedHeader(const std::string &name)
 {
     return !isHopByHop(name) && !equalsIgnoringCase(name, "Host") && !equalsIgnoringCase(name, "Authorization") && !equalsIgnoringCase(name, "X-Request-Id")
@@ -203,7 +204,7 @@
     send(id);
 }
 
-// [SECTION] Ends
+// [SECTION] Completion
 
 void ServiceCalls::Private::refuse(const RequestId &request, Problem problem)
 {
@@ -233,7 +234,7 @@
     }
 }
 
-/// The current target will not answer (in full).
+/// The current target won't complete the response: retries the call elsewhere if that is safe, or ends it.
 void ServiceCalls::Private::handleFailure(const RequestId &request, Outcome outcome, const Error &error)
 {
     OpenCall *call = find(request);
@@ -245,7 +246,7 @@
     }
     releaseTarget(*call);
     if (call->hasHead) {
-        // Status and part of the body are out: a broken connection is the only way left to say that it is not whole.
+        // The status has been sent to the caller: only a broken connection can still signal an incomplete response.
         const ExchangePtr exchange = call->exchange;
         finishKey(*call, KeyOutcome::Unknown);
         ++unknown;
@@ -287,7 +288,7 @@
         return;
     }
     if (call->key) {
-        // The caller will send the key again and must then get this answer: let the call run to its end.
+        // A retry with this key must get this response, so the call continues without its caller.
         call->uncredited = 0;
         return;
     }
@@ -345,7 +346,7 @@
     call->exchange->pushChunk(body.data);
     call->uncredited += body.data.size();
     if (!call->exchange->isOpen()) {
-        sendCredit(body.request); // the caller is gone and the key's answer is still wanted
+        sendCredit(body.request); // the caller has disconnected, but the response is still to be stored for the key
     }
     if (call->key && !call->isTooLongToStore) {
         call->storedResponse.body += body.data;
@@ -386,8 +387,8 @@
     case KeyDecision::Unknown:
         return refuseWith({502, "", "the first call with this key may have been run; its answer is not known, or too long to be kept", Outcome::Unknown});
     case KeyDecision::Unavailable:
-        // This call is not handed over, but an earlier one with the key may have run: told not-run, its caller would take it
-        // that nothing was done.
+        // This call is not sent, but an earlier one with the same key may have run: with `not-run` the caller would conclude that
+        // nothing was done.
         ++unknown;
         return refuseWith({502, "", "the platform's table service is away, so that nobody can tell whether this key was used", Outcome::Unknown, 2});
     }
@@ -487,7 +488,7 @@
             lost.push_back(request);
         }
     }
-    // Frames may have reached the sidecar before the link broke, even if it never answered.
+    // The sidecar may have received the call before the link broke, even if it never responded.
     for (const RequestId &request : lost) {
         d->handleFailure(request, Outcome::Unknown, error);
     }
--- a/src/entry/service_calls.h
+++ b/src/entry/service_calls.h
@@ -1,8 +1,8 @@
-// Calls to plain services: chooses a target, passes the body on, streams the answer back, and says of every refusal
-// whether the call was run.
+// Calls to plain services: chooses a target, forwards the request, streams the response back, and states for every failed call
+// whether it was run.
 //
-// A call is sent to a second target only if it certainly was not handed over at the first, or if its method is
-// idempotent, the file does not mark it, and nothing of an answer has come.
+// A call is sent to a second target only while no part of a response has been received, and only if the first target certainly
+// did not run it, or if its method is idempotent and the configuration does not mark it as non-idempotent.
 #pragma once
 
 #include "entry/completions.h"
@@ -21,16 +21,16 @@
     /// `service` is the name in the path; `path` is what follows it, with a leading slash.
     void serve(const ExchangePtr &exchange, const Caller &caller, const std::string &service, const std::string &path, const Configuration &configuration);
 
-    /// Takes a frame that belongs to calls; false if it is malformed.
+    /// Handles a frame that belongs to calls; false if it is malformed or of another message type.
     bool handleFrame(const Frame &frame);
-    /// The link to an address is gone.
+    /// The link to an address was lost: its calls fail with outcome Unknown, or are retried elsewhere.
     void handleLinkLost(const std::string &address, const Error &error);
-    /// Ends calls that are late. Called every few tens of milliseconds.
+    /// Ends calls whose deadline has passed. Called every 50 ms.
     void tick();
 
     std::size_t open() const;
     std::size_t open(const WorkspaceName &workspace) const;
-    /// JSON list for the state dump.
+    /// The open calls as a JSON list, for the state dump.
     std::string dump() const;
 
 private:
--- a/src/entry/targets.cpp
+++ b/src/entry/targets.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/// A target with what only the entry's table needs.
+/// A target's view with data that only this table uses.
 struct TargetRecord {
     TargetView view;
-    TimePoint configurationPushedAt{}; ///< last push of configuration
-    TimeEstimate receiveIntervals;     ///< between two times that it was heard
+    TimePoint configurationPushedAt{}; ///< last push of configuration; zero before the first
+    TimeEstimate receiveIntervals;     ///< intervals between messages received from it, in seconds
 };
 
 } // namespace
@@ -25,7 +25,7 @@
 struct Targets::Private {
     EntryContext &context;
     std::map<TargetId, TargetRecord> targets;
-    std::unordered_map<std::uint64_t, TargetId> targetOfKey; ///< by the key of load reports
+    std::unordered_map<std::uint64_t, TargetId> targetOfKey; ///< by the target key in load reports
     std::function<void(const TargetId &)> lost;
     std::function<void()> usable;
     std::function<void(const LinkPtr &, ConfigurationVersion)> outdatedConfiguration;
@@ -100,7 +100,7 @@
     const bool isOld = announcement.incarnation < target.view.last.incarnation
                        || (announcement.incarnation == target.view.last.incarnation && announcement.sequence <= target.view.last.sequence);
     if (isOld) {
-        return; // UDP may reorder and repeat
+        return; // UDP may reorder and duplicate datagrams
     }
     if (announcement.incarnation > target.view.last.incarnation) {
         d->handleNewIncarnation(target, announcement);
@@ -113,7 +113,7 @@
         logEvent(Event::TargetDraining, {{"target", announcement.target.value}});
     }
     if (announcement.state == TargetState::Joining && before == TargetState::Ready) {
-        d->lost(announcement.target); // its engine does not answer any more
+        d->lost(announcement.target); // its engine no longer responds
     }
     d->context.links.link(addressOf(announcement));
     d->pushConfigurationIfOutdated(target, inForce);
@@ -172,7 +172,7 @@
 {
     for (auto &[id, target] : d->targets) {
         if (addressOf(target.view.last).toString() == address) {
-            // Without this, new requests would go to a dead sidecar until silence-timeout had passed.
+            // Otherwise new requests would be sent to a dead sidecar until silence-timeout has passed.
             target.view.isTimedOut = true;
         }
     }
--- a/src/entry/targets.h
+++ b/src/entry/targets.h
@@ -1,4 +1,4 @@
-// The targets that this entry uses: what they announced, whether they are heard, and links to them.
+// The targets that this entry uses: their announcements, whether they have timed out, and the links to them.
 #pragma once
 
 #include "entry/context.h"
@@ -9,37 +9,39 @@
 namespace Parsleytrail
 {
 
-/// Table of targets, fed by announcements and the platform's list.
+/// Table of targets, updated from announcements, load reports and the platform's membership list.
 class Targets
 {
 public:
     explicit Targets(EntryContext &context);
     ~Targets();
 
-    /// Called when a target can no longer be relied on: silent, restarted, or its engine lost.
+    /// Called when a target's streams can't continue there: it timed out, restarted, or lost its engine.
     void onLost(std::function<void(const TargetId &)> handler);
-    /// Called when a target may have become usable.
+    /// Called when a target may have become usable for new work.
     void onUsable(std::function<void()> handler);
-    /// Called for a target that has an older configuration in force than this entry; at most once a second for each.
+    /// Called when a target announces an older configuration version than this entry's; at most once per
+    /// configurationPushInterval for each target.
     void onOutdatedConfiguration(std::function<void(const LinkPtr &, ConfigurationVersion)> handler);
 
     void handleAnnouncement(const Announcement &announcement, ConfigurationVersion inForce);
-    /// Takes the load of a target; false if it has not announced itself here.
+    /// Updates the load of a target; false if this entry has no announcement of it.
     bool handleLoadReport(const LoadReport &report);
-    /// Marks targets as leaving that the platform's list shows as leaving.
+    /// Marks exactly these targets as leaving, as the platform's membership list shows them.
     void markLeaving(const std::vector<TargetId> &leaving);
-    /// The link to an address broke: its target gets no new work until it announces itself again.
+    /// The link to an address was lost: its target gets no new work until its next announcement or load report.
     void handleLinkLost(const std::string &address);
-    /// Finds silent targets, forgets those long gone. Called every few tens of milliseconds; `stall` is the time for which
-    /// this process stood still before, which is not counted as silence.
+    /// Marks targets that have timed out and removes those after removeTargetAfter. Called every 50 ms; `processPause` is the
+    /// time for which this process was paused or its loop was blocked before the call, which doesn't count towards timeouts.
     void tick(milliseconds processPause);
 
-    /// All targets, for the decisions. Valid until the next call that changes the table.
+    /// All targets. The pointers are valid until the next call that changes the table.
     std::vector<const TargetView *> views() const;
     const TargetView *find(const TargetId &target) const;
-    /// Whether the target has not been heard for longer than is usual for it. Earlier than silent; at least progress-timeout.
+    /// Whether nothing has been received from the target for longer than its usual intervals allow: after progress-timeout at the
+    /// earliest, after silence-timeout at the latest. True for an unknown target.
     bool isOverdue(const TargetId &target) const;
-    /// The link to a target; made if there is none.
+    /// The link to a target, opened if there is none; null for an unknown target.
     LinkPtr link(const TargetId &target);
 
     void recordOpened(const TargetId &target);
@@ -52,7 +54,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr milliseconds removeTargetAfter{60000};        ///< a target silent for this long is forgotten
-constexpr milliseconds configurationPushInterval{1000}; ///< between pushes to one target
+constexpr milliseconds removeTargetAfter{60000};        ///< a target is removed when nothing was received for this long and this entry has nothing open there
+constexpr milliseconds configurationPushInterval{1000}; ///< between pushes of configuration to one target
 
 } // namespace Parsleytrail
--- a/src/entry/usage_recorder.cpp
+++ b/src/entry/usage_recorder.cpp
@@ -18,16 +18,16 @@
 namespace
 {
 
-/// A closed stream whose stages have not all told what they spent.
+/// A stream whose stages may still report their accelerator time.
 struct PendingUsage {
     UsageOwner owner;
     TimePoint expiresAt{};
 };
 
-/// Where a row stands in the store.
+/// A row as it is in the store.
 struct WrittenRow {
-    std::uint64_t version = 0; ///< of the row; 0: not there
-    std::string value;         ///< as last written with success
+    std::uint64_t version = 0; ///< of the row; 0 if it doesn't exist
+    std::string value;         ///< last successfully written or read
 };
 
 json encodeCounters(const UsageKey &key, const UsageCounters &counters)
@@ -144,8 +144,8 @@
 
 // [SECTION] Writing
 
-/// The ledger as rows. Keys of one hour keep their order and so, as the ledger only grows within an hour, few move to
-/// another part; a part that lost a key to another one is written in the same transaction.
+/// Encodes the ledger as rows of up to maxKeysPerRow keys. The ledger is sorted and only grows within an hour, so few keys move
+/// to another row; a row that lost a key to another one is written in the same transaction.
 std::map<std::string, std::string> UsageRecorder::Private::rows() const
 {
     std::map<std::int64_t, std::vector<json>> byHour;
@@ -180,8 +180,8 @@
         if (status == StoreStatus::Ok) {
             written[write.key] = {write.ifVersion + 1, write.value};
         } else if (status != StoreStatus::Unavailable) {
-            // Only this start of this entry writes the row: a conflict means that a write whose answer was lost took
-            // effect. The values are absolute, so that the next write with the right version sets everything straight.
+            // Only this incarnation of this entry writes the row, so a conflict means that a write whose response was lost took
+            // effect. The values are absolute: the next write with the current version corrects the row.
             readVersion(write.key);
         }
     }
@@ -255,7 +255,7 @@
 
 void UsageRecorder::read(std::int64_t fromHour, std::int64_t toHour, std::function<void(StoreStatus, const UsageLedger &)> done)
 {
-    // This entry's own work first, so that its report holds everything that it has counted.
+    // Writes this entry's own work first, so that the report includes everything that it has counted.
     flush([this, fromHour, toHour, done = std::move(done), weak = std::weak_ptr(d->alive)](StoreStatus) {
         if (weak.expired()) {
             return;
--- a/src/entry/usage_recorder.h
+++ b/src/entry/usage_recorder.h
@@ -1,7 +1,8 @@
-// Counts the served work of an entry, writes it to the table service on a budget, and reads everyone's for a report.
+// Counts the work that an entry has served, writes the counters to the table service within a request budget, and reads
+// those of all entries for a report.
 //
-// One row for each hour and part of this start of this entry, rewritten with higher values. What is newer than the last
-// write is lost if the entry dies: at most report-flush, or as long as the store was away.
+// Each incarnation of an entry has rows of its own: one or more per hour, rewritten with higher values. If the entry dies, the
+// work since the last write is lost: at most report-flush, or as long as the store was unavailable.
 #pragma once
 
 #include "entry/context.h"
@@ -13,15 +14,15 @@
 namespace Parsleytrail
 {
 
-/// Whose work it is; the hour is the keeper's.
+/// What a piece of work is counted under; the recorder adds the hour.
 struct UsageOwner {
     WorkspaceName workspace; ///< of the caller
     ServiceName service;     ///< named by the caller
     ModelName model;         ///< empty for plain services
-    double worth = 0;        ///< of one answered request
+    double worth = 0;        ///< value of one answered request
 };
 
-/// Keeps the served work.
+/// Counters of the work served by this entry.
 class UsageRecorder
 {
 public:
@@ -30,17 +31,17 @@
 
     void countAnswered(const UsageOwner &owner, std::uint64_t promptTokens, std::uint64_t completionTokens);
     void countRefused(const UsageOwner &owner);
-    /// `completionTokens` were given to the caller before the answer broke off.
+    /// `completionTokens` reached the caller before the response was cut off.
     void countUnknown(const UsageOwner &owner, std::uint64_t completionTokens);
-    /// A stream's stages will tell what they spent on it.
+    /// Stages of a stream will report their accelerator time; reports within stageUsageTimeout from now are counted for `owner`.
     void expectUsage(const RequestId &request, const UsageOwner &owner);
     void recordStageUsage(const StageUsage &usage, const std::string &accelerator);
 
-    /// Writes what has changed, if it is time. Called now and then.
+    /// Writes changed rows every report-flush. Called every 50 ms.
     void tick();
-    /// Writes what has changed; `done` is called when the store has answered.
+    /// Writes changed rows; calls `done` when the store has responded, with Unavailable if another write is in progress.
     void flush(std::function<void(StoreStatus)> done);
-    /// Whether anything is not written yet.
+    /// Whether any work is not yet written.
     bool isDirty() const;
 
     /// The ledger of all entries for hours in [from, to).
@@ -52,8 +53,8 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t maxKeysPerRow = 200;       ///< workspaces x services in one row: some 40 KB
-constexpr milliseconds stageUsageTimeout{10000}; ///< how long a closed stream's usage is waited for
-constexpr int maxReportRows = 100000;            ///< read for one report
+constexpr std::size_t maxKeysPerRow = 200;       ///< combinations of workspace, service and model in one row: about 40 KB
+constexpr milliseconds stageUsageTimeout{10000}; ///< after expectUsage(): how long reports of accelerator time are counted
+constexpr int maxReportRows = 100000;            ///< rows read for one report
 
 } // namespace Parsleytrail
--- a/tests/cluster.cpp
+++ b/tests/cluster.cpp
@@ -201,7 +201,7 @@
 void Cluster::wait(const char *what, const std::function<bool()> &done)
 {
     const bool isDone = loop.runUntil(done, testTimeout);
-    BOOST_REQUIRE_MESSAGE(isDone, "waited in vain for: " << what);
+    BOOST_REQUIRE_MESSAGE(isDone, "timed out waiting for: " << what);
 }
 
 void Cluster::idle(milliseconds time)
@@ -243,7 +243,7 @@
     return std::stoul(id.substr(id.find('-') + 1));
 }
 
-/// Takes what events have come into the answer's text.
+/// Parses the complete events in `remainder` into the answer; leaves an incomplete one there.
 static void readEvents(Answer &answer, std::string &remainder)
 {
     std::size_t end = 0;
@@ -303,7 +303,7 @@
 HttpResult Cluster::send(HttpClientRequest request, std::size_t entry)
 {
     const auto result = sendAsync(std::move(request), entry);
-    wait("an answer", [&] {
+    wait("a response", [&] {
         return result->has_value();
     });
     return **result;
@@ -322,7 +322,7 @@
     client.fetch(entries[entry]->operatorAddress(), std::move(request), [&](const HttpResult &answer) {
         result = answer;
     });
-    wait("an operator's answer", [&] {
+    wait("a response to an operator", [&] {
         return result.has_value();
     });
     return *result;
--- a/tests/path_test.cpp
+++ b/tests/path_test.cpp
@@ -1,4 +1,4 @@
-// The whole path, end to end: a question over a chain of engines, a booking, a file in force.
+// End to end: completion requests over a chain of engines, and a booking.
 #include "tests/cluster.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 {
     Cluster cluster;
     const AnswerPtr answer = cluster.requestCompletion("which wheel is free", 20);
-    cluster.wait("the answer", [&] {
+    cluster.wait("the response", [&] {
         return answer->isEnded;
     });
     BOOST_TEST(answer->status == 200);
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -1,4 +1,4 @@
-// Calls to plain services: passing on, at most once, and keys.
+// Calls to plain services: forwarding, execution at most once, and idempotency keys.
 #include "tests/cluster.h"
 
 #include <boost/test/data/monomorphic.hpp>
@@ -30,7 +30,7 @@
     return findHeader(result.headers, "parsley-outcome");
 }
 
-/// Bookings that the applications ran.
+/// Number of bookings that the applications ran.
 std::size_t bookingsRun(const Cluster &cluster)
 {
     std::size_t count = 0;
@@ -40,10 +40,10 @@
     return count;
 }
 
-/// Sends a keyed booking again until it is answered.
+/// Retries a keyed booking until its response is 201.
 void waitAnswered(Cluster &cluster, const std::string &key, std::size_t entry)
 {
-    cluster.wait("the key to be answered", [&] {
+    cluster.wait("the keyed booking to get 201", [&] {
         return cluster.send(keyedBooking(key), entry).status == 201;
     });
 }
@@ -84,9 +84,9 @@
 
 BOOST_AUTO_TEST_CASE(a_slow_reader_holds_the_answer_back)
 {
-    // The caller stops reading a long answer. The sidecar must stop reading from the application once a window of bytes
-    // is out, so that neither it nor the entry grows (the kernel's
-    // own buffers hold some 40 MB); when the caller reads on, the rest comes.
+    // The caller stops reading a long response. The sidecar must stop reading from the application once a window of bytes is
+    // uncredited, or the memory of sidecar and entry would grow without bound (the kernel's own buffers hold about 40 MB).
+    // When the caller resumes reading, the remainder must arrive.
     Cluster cluster;
     std::size_t received = 0;
     bool isOver = false;
@@ -103,7 +103,7 @@
     const HttpCallPtr reader = cluster.client.stream(cluster.entries[0]->callerAddress(), request, std::move(handlers));
     reader->pauseReading(true);
     std::string before;
-    cluster.wait("the answer to stand still", [&] {
+    cluster.wait("the response to stall", [&] {
         cluster.idle(milliseconds(300));
         const std::string now = json::parse(cluster.sidecars.back()->state())["calls"].dump();
         const bool isStill = now == before && now != "[]";
@@ -115,7 +115,7 @@
     BOOST_REQUIRE(state["calls"].size() == 1u);
     BOOST_TEST(state["calls"][0]["uncredited"].get<std::size_t>() < 2u << 20);
     reader->pauseReading(false);
-    cluster.wait("the rest", [&] {
+    cluster.wait("the remainder", [&] {
         return isOver;
     });
     BOOST_TEST(received == 150000000u);
@@ -123,8 +123,8 @@
 
 BOOST_AUTO_TEST_CASE(one_huge_chunk_does_not_overrun_the_link)
 {
-    // The application sends 100 MB as a single chunk, which arrives at the sidecar whole. Passed on at once it was over
-    // what a link may hold: the link was closed, and every other call on it got `unknown`.
+    // The application sends 100 MB as a single chunk, which arrives at the sidecar in one piece. Forwarding it at once exceeded
+    // the link's limit for unsent bytes: the link was closed, and every other call on it got `unknown`.
     Cluster cluster;
     cluster.applications[0]->setSlow(milliseconds(0));
     HttpClientRequest request = call("GET", "/services/booking/bytes?count=100000000&chunk=100000000");
@@ -132,7 +132,7 @@
     const auto large = cluster.sendAsync(request);
     const HttpResult other = cluster.send(call("GET", "/services/booking/echo"));
     BOOST_TEST(other.status == 200);
-    cluster.wait("the large answer", [&] {
+    cluster.wait("the large response", [&] {
         return large->has_value();
     });
     BOOST_TEST(!(*large)->failure.has_value());
@@ -141,8 +141,8 @@
 
 BOOST_AUTO_TEST_CASE(non_idempotent_call_is_not_repeated_when_its_answer_is_lost)
 {
-    // The application books and then breaks the connection. The caller is told `unknown`; nothing is sent a second time,
-    // though another application could take it.
+    // The application books and then closes the connection without a response. The caller must get `unknown`, and the call must
+    // not be sent again although another application is available.
     ClusterOptions options;
     options.applications = 2;
     Cluster cluster(options);
@@ -169,12 +169,12 @@
 
 BOOST_AUTO_TEST_CASE(not_run_is_only_said_when_certain)
 {
-    // One application's process is gone: its port refuses connections. The call was certainly not handed over there, so
-    // that even a booking goes to the other one. With both gone the caller is told `not-run`.
+    // One application's process has ended: its port refuses connections. The call was certainly not run there, so even a
+    // non-idempotent booking must be sent to the other one. With both ended the caller must get `not-run`.
     ClusterOptions options;
     options.applications = 2;
     options.tuneSidecar = [](SidecarSettings &sidecar) {
-        sidecar.announceInterval = milliseconds(5000); // the sidecar has not noticed yet
+        sidecar.announceInterval = milliseconds(5000); // the sidecar still announces itself as ready
     };
     Cluster cluster(options);
     cluster.applications[0].reset();
@@ -190,8 +190,8 @@
 
 BOOST_AUTO_TEST_CASE(sidecar_dies_during_a_booking)
 {
-    // The sidecar beside the application is killed while the application works. Whether the booking was made nobody can
-    // tell: `unknown`, and no second hand-over.
+    // The application's sidecar is killed while the application works on a booking. Whether the booking was made can't be known:
+    // the caller must get `unknown`, and the call must not be sent a second time.
     ClusterOptions options;
     options.applications = 2;
     Cluster cluster(options);
@@ -199,7 +199,7 @@
         application->setSlow(milliseconds(300));
     }
     const auto result = cluster.sendAsync(post("/services/booking/bookings", R"({"wheel": "w1"})"));
-    cluster.wait("the hand-over", [&] {
+    cluster.wait("the call to reach a sidecar", [&] {
         return cluster.sidecars[6]->open() + cluster.sidecars[7]->open() > 0;
     });
     cluster.killSidecar(cluster.sidecars[6]->open() > 0 ? 6 : 7);
@@ -261,7 +261,7 @@
     });
     BOOST_TEST(cluster.send(keyedBooking("k1"), 0).status == 409);
     BOOST_TEST(cluster.send(keyedBooking("k1"), 1).status == 409);
-    cluster.wait("the first answer", [&] {
+    cluster.wait("the first response", [&] {
         return first->has_value();
     });
     BOOST_TEST((*first)->status == 201);
@@ -283,8 +283,8 @@
 
 BOOST_AUTO_TEST_CASE(the_insert_of_a_key_is_lost_after_it_took_effect)
 {
-    // The store takes the row and its answer is lost. The entry inserts again with the same write id, finds its own row,
-    // and makes the call: once.
+    // The store inserts the row, but its response is lost. The entry inserts again with the same write id, recognises its own row
+    // by it, and must make the call exactly once.
     Cluster cluster;
     cluster.platform.faults().loseAnswers = 1;
     BOOST_TEST(cluster.send(keyedBooking("k1"), 0).status == 201);
@@ -301,12 +301,12 @@
         return cluster.entries[0]->open() == 1;
     });
     cluster.platform.faults().loseAnswers = 2;
-    cluster.wait("the answer", [&] {
+    cluster.wait("the response", [&] {
         return first->has_value();
     });
     BOOST_TEST((*first)->status == 201);
     HttpResult elsewhere;
-    cluster.wait("the end to be in the store", [&] {
+    cluster.wait("the outcome to be in the store", [&] {
         return json::parse(cluster.entries[0]->status())["store"]["unwrittenCallEnds"] == 0;
     });
     elsewhere = cluster.send(keyedBooking("k1"), 1);
@@ -316,8 +316,8 @@
 
 BOOST_AUTO_TEST_CASE(a_key_that_ran_is_not_called_not_run_while_the_store_is_away)
 {
-    // A booking ran at one entry; its answer is lost, and the caller sends the key again at another entry while the store is
-    // away. That entry hands nothing over, but a caller told `not-run` would take it that there is no booking.
+    // A booking ran through one entry, and the caller sends its key again to another entry while the store is unavailable. That
+    // entry sends no call, but must not respond `not-run`: the caller would conclude that there is no booking.
     Cluster cluster;
     BOOST_TEST(cluster.send(keyedBooking("k1"), 0).status == 201);
     cluster.platform.faults().isDown = true;
@@ -333,8 +333,8 @@
 
 BOOST_AUTO_TEST_CASE(keys_are_refused_while_the_store_is_away)
 {
-    // Without the store nobody can tell whether the key was used at another entry. Bookings without a key go on: a
-    // caller that sends one again asks for a second booking.
+    // Without the store an entry can't tell whether the key was used at another entry. Bookings without a key are still accepted:
+    // a caller that sends one again requests a second booking.
     Cluster cluster;
     cluster.platform.faults().isDown = true;
     const HttpResult keyed = cluster.send(keyedBooking("k1"), 0);
@@ -349,8 +349,8 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_dies_while_a_keyed_call_runs)
 {
-    // The caller sends the key again at the other entry. The first call may have run: the key is never run again; after
-    // the call's deadline has passed the caller is told `unknown` for good.
+    // The caller sends the key again to the other entry. The first call may have run, so the key must never run again: the caller
+    // gets 409 until the deadline of the first call has passed, and `unknown` from then on.
     ClusterOptions options;
     options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -1,4 +1,4 @@
-// The served work, reconciled with what the stand-ins ran and the callers got.
+// The report of the served work, compared with what the stand-ins ran and the callers received.
 #include "policy/usage.h"
 #include "tests/cluster.h"
 
@@ -55,15 +55,15 @@
 
 BOOST_AUTO_TEST_CASE(the_report_agrees_with_what_was_run)
 {
-    // Questions and bookings at two entries; some are refused, one is lost. The sums of the report are what callers got
-    // and what the stand-ins ran, at either entry, also after one entry has restarted.
+    // Completions and bookings at two entries; the response to one booking is lost. The report of either entry must match what
+    // the callers received and the stand-ins ran, also after one entry has restarted.
     Cluster cluster(quickFlush());
     std::size_t tokens = 0;
     std::size_t promptTokens = 0;
     for (int i = 0; i < 10; ++i) {
         const std::string prompt = "question " + std::to_string(i);
         const AnswerPtr answer = cluster.requestCompletion(prompt, 8, static_cast<std::size_t>(i % 2));
-        cluster.wait("an answer", [&] {
+        cluster.wait("a response", [&] {
             return answer->isEnded;
         });
         const auto reference = StandIn::referenceAnswer("user: " + prompt + "\n", {"assistant", "v1", "clay"}, 32, 8);
@@ -100,13 +100,13 @@
 
 BOOST_AUTO_TEST_CASE(lost_and_repeated_writes_change_nothing)
 {
-    // The store takes writes of the counters and loses the answers. Counters are absolute: the row is read, written again
-    // with its true version, and the sums are right.
+    // The store applies writes of the counters, but its responses are lost. Counting must not be doubled: the counters are
+    // absolute, so the entry reads the row's version and writes the row again.
     Cluster cluster(quickFlush());
     for (int i = 0; i < 6; ++i) {
         cluster.platform.faults().loseAnswers = 1;
         const AnswerPtr answer = cluster.requestCompletion("question " + std::to_string(i), 3);
-        cluster.wait("an answer", [&] {
+        cluster.wait("a response", [&] {
             return answer->isEnded;
         });
         cluster.idle(milliseconds(120));
@@ -124,7 +124,7 @@
     Cluster cluster(quickFlush());
     cluster.platform.faults().isDown = true;
     const AnswerPtr answer = cluster.requestCompletion("question", 3);
-    cluster.wait("an answer", [&] {
+    cluster.wait("a response", [&] {
         return answer->isEnded;
     });
     BOOST_TEST(cluster.sendOperatorRequest("GET", "/operator/v1/report").status == 503);
