--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -93,7 +93,7 @@
 
     void beginKeyed(OpenCall call);
     void finishKey(OpenCall &call, KeyOutcome keyOutcome);
-    void handleKeyDecision(OpenCall call, KeyDecision verdict, const StoredResponse &answer);
+    void handleKeyDecision(OpenCall call, KeyDecision decision, const StoredResponse &answer);
 };
 
 OpenCall *ServiceCalls::Private::find(const RequestId &request)
@@ -129,9 +129,9 @@
     if (usable.empty()) {
         return nullptr;
     }
-    std::uniform_int_distribution<std::size_t> any(0, usable.size() - 1);
-    const TargetView *a = usable[any(context.random)];
-    const TargetView *b = usable[any(context.random)];
+    std::uniform_int_distribution<std::size_t> randomIndex(0, usable.size() - 1);
+    const TargetView *a = usable[randomIndex(context.random)];
+    const TargetView *b = usable[randomIndex(context.random)];
     return expectedMicros(*a, now) <= expectedMicros(*b, now) ? a : b;
 }
 
@@ -367,12 +367,12 @@
     }
 }
 
-void ServiceCalls::Private::handleKeyDecision(OpenCall call, KeyDecision verdict, const StoredResponse &answer)
+void ServiceCalls::Private::handleKeyDecision(OpenCall call, KeyDecision decision, const StoredResponse &answer)
 {
     const auto refuseWith = [&](Problem problem) {
         replyProblem(call.exchange, problem, {{"X-Request-Id", call.caller.shownId}});
     };
-    switch (verdict) {
+    switch (decision) {
     case KeyDecision::Run:
         return open(std::move(call));
     case KeyDecision::Replay: {
@@ -398,9 +398,9 @@
 {
     const CallKey key = *call.key;
     const auto shared = std::make_shared<OpenCall>(std::move(call));
-    keys.begin(key, [this, shared, weak = std::weak_ptr(alive)](KeyDecision verdict, const StoredResponse &answer) {
+    keys.begin(key, [this, shared, weak = std::weak_ptr(alive)](KeyDecision decision, const StoredResponse &answer) {
         if (!weak.expired()) {
-            handleKeyDecision(std::move(*shared), verdict, answer);
+            handleKeyDecision(std::move(*shared), decision, answer);
         }
     });
 }
