--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -106,9 +106,9 @@
     cluster.wait("the response to stall", [&] {
         cluster.idle(milliseconds(300));
         const std::string now = json::parse(cluster.sidecars.back()->state())["calls"].dump();
-        const bool isStill = now == before && now != "[]";
+        const bool isStalled = now == before && now != "[]";
         before = now;
-        return isStill;
+        return isStalled;
     });
     BOOST_TEST(received < 60000000u);
     const json state = json::parse(cluster.sidecars.back()->state());
