--- a/src/entry/configuration_manager.cpp
+++ b/src/entry/configuration_manager.cpp
@@ -115,7 +115,7 @@
     Store &store;
     Configuration configuration;
     ConfigurationLog log;
-    CurrentRow row; ///< newest row read or written
+    CurrentRow row; ///< newest row read or written; its objects make up the configuration of its digest
     std::function<void()> changed;
     bool hasReadCurrentRow = false;   ///< since this process started
     ConfigurationVersion peerVersion; ///< newest version announced by a ready peer
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -52,7 +52,7 @@
     Timer drainTimer;
     TimePoint lastTickAt{};
     TimePoint drainStartedAt{};
-    TimePoint idleSince{}; ///< when a drain began to wait only for writes to the store; zero before
+    TimePoint idleSince{}; ///< when a drain began to wait only for writes to the store; zero while it doesn't
     TimePoint nextSidecarAnnounce{};
     std::function<void()> drained;
 
@@ -463,7 +463,7 @@
 
 Entry::~Entry()
 {
-    // Servers first, that of the peers' links included: their handlers use the other components.
+    // Servers first, including the link server for peers: their handlers use the other components.
     d->callers.reset();
     d->operators.reset();
     d->peerServer.reset();
--- a/src/entry/keyed_calls.h
+++ b/src/entry/keyed_calls.h
@@ -35,7 +35,7 @@
     RequestMismatch, ///< the key was used for another call
     InProgress,      ///< the first call may still be running
     Unknown,         ///< the first call may have run; its response is lost or was too long to store
-    Unavailable      ///< the state can't be read or written now
+    Unavailable      ///< the state can't be read or written now, or too many keys are held
 };
 
 /// Outcome of a call with a key.
@@ -62,7 +62,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t maxStoredBodyBytes = 64 << 10; ///< longer responses are not stored: a retry then gets `unknown`, not the response
-constexpr std::size_t maxHeldKeys = 10000;           ///< keys of running calls and unwritten outcomes; at this limit further keyed calls are refused
+constexpr std::size_t maxStoredBodyBytes = 64 << 10; ///< longer responses are not stored: a retry gets `unknown` instead
+constexpr std::size_t maxHeldKeys = 10000;           ///< running calls and unwritten outcomes; further keyed calls are refused
 
 } // namespace Parsleytrail
--- a/src/entry/peers.h
+++ b/src/entry/peers.h
@@ -29,7 +29,7 @@
 
     /// Called for each announcement of another entry, unless it is of an older incarnation.
     void onAnnouncement(std::function<void(const EntryAnnouncement &)> handler);
-    /// Whether the announcement is the first of an entry's incarnation; only within the handler of onHeard.
+    /// Whether the announcement is the first of an entry's incarnation; only within the handler of onAnnouncement.
     bool isNewIncarnation(const EntryAnnouncement &announcement) const;
     /// Called after each read of the platform's membership list with all targets that it marks as leaving.
     void onLeaving(std::function<void(const std::vector<TargetId> &)> handler);
--- a/src/entry/targets.h
+++ b/src/entry/targets.h
@@ -54,7 +54,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr milliseconds removeTargetAfter{60000};        ///< a target is removed when nothing was received for this long and this entry has nothing open there
+constexpr milliseconds removeTargetAfter{60000};        ///< without a message, and with nothing open there by this entry
 constexpr milliseconds configurationPushInterval{1000}; ///< between pushes of configuration to one target
 
 } // namespace Parsleytrail
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -42,7 +42,7 @@
     bool hasDone = false;               ///< [DONE] was received
     bool isEnded = false;               ///< the response is complete or was cut off
     std::optional<HttpFailure> failure; ///< set if the response was cut off
-    HttpCallPtr call;                   ///< destroying it cancels the request
+    HttpCallPtr call;                   ///< to cancel the request
 };
 using AnswerPtr = std::shared_ptr<Answer>;
 
