--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -350,7 +350,7 @@
 BOOST_AUTO_TEST_CASE(an_entry_dies_while_a_keyed_call_runs)
 {
     // The caller sends the key again to the other entry. The first call may have run, so the key must never run again: the caller
-    // gets 409 until some seconds after the deadline of the first call, and `unknown` from then on.
+    // gets 409 until 5 s after the deadline of the first call, and `unknown` from then on.
     ClusterOptions options;
     options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
