--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -21,7 +21,7 @@
 /// A response in progress, with the state of its request.
 struct OpenAnswer : CompletionAnswer {
     WorkspaceName workspace;        ///< workspace of the caller
-    WorkOwner owner;                ///< whom the usage is recorded for
+    UsageOwner owner;               ///< whom the usage is recorded for
     double firstTokenTarget = 0;    ///< target for the time to the first token, in seconds
     double betweenTokensTarget = 0; ///< target for the time between tokens, in seconds; 0: none
     TimePoint startedAt{};          ///< time of admission; zero while the request waits
@@ -63,7 +63,7 @@
     EntryContext &context;
     Streams &streams;
     const InputGuard &guard;
-    WorkKeeper &work;
+    UsageRecorder &work;
     AdmissionQueue admission;
     std::map<WorkspaceName, std::size_t> openByWorkspace;
     std::size_t openTotal = 0;
@@ -216,7 +216,7 @@
     stream.requirements = {{service.model}, service.version, service.adapter, static_cast<std::uint32_t>(model.layers)};
     stream.prompt = request.prompt;
     stream.maxTokens = request.maxTokens > 0 ? request.maxTokens : static_cast<std::uint32_t>(service.maxTokens);
-    const WorkOwner owner{caller.workspace, {request.service}, {service.model}, caller.section->worth};
+    const UsageOwner owner{caller.workspace, {request.service}, {service.model}, caller.section->worth};
     stream.fingerprint = hash64(request.prompt, hash64(request.service));
     stream.service.value = request.service;
     stream.workspace = caller.workspace;
@@ -251,7 +251,7 @@
 
 // [SECTION] Completions
 
-Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, WorkKeeper &work)
+Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &work)
     : d(new Private{context,
                     streams,
                     guard,
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -84,9 +84,9 @@
 ClusterOptions FaultRun::options()
 {
     ClusterOptions options;
-    options.holders = 3;
+    options.enginesPerRange = 3;
     options.applications = 2;
-    options.configuration = usualConfiguration();
+    options.configuration = defaultConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
         engine.stepFixed = microseconds(1000);
@@ -124,7 +124,7 @@
     OpenCompletion completion;
     completion.prompt = "question " + std::to_string(m_requested++);
     completion.maxTokens = static_cast<std::uint32_t>(5 + pick(60));
-    completion.answer = m_cluster.ask(completion.prompt, completion.maxTokens, pickRunningEntry());
+    completion.answer = m_cluster.requestCompletion(completion.prompt, completion.maxTokens, pickRunningEntry());
     m_completions.push_back(std::move(completion));
 }
 
@@ -135,7 +135,7 @@
         headers.push_back({"Idempotency-Key", booking.reference});
     }
     --booking.sendsLeft;
-    booking.result = m_cluster.begin(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), pickRunningEntry());
+    booking.result = m_cluster.sendAsync(post("/services/booking/bookings", json{{"wheel", booking.reference}}.dump(), headers), pickRunningEntry());
 }
 
 void FaultRun::book()
@@ -225,7 +225,7 @@
 void FaultRun::collectResults()
 {
     for (auto completion = m_completions.begin(); completion != m_completions.end();) {
-        if (!completion->answer->isOver) {
+        if (!completion->answer->isEnded) {
             ++completion;
             continue;
         }
@@ -234,7 +234,7 @@
             recordEvent({{"event", "caller-answer"},
                          {"request", completion->prompt},
                          {"text", completion->answer->text},
-                         {"expected", m_cluster.expected(completion->prompt, completion->maxTokens)}});
+                         {"expected", m_cluster.expectedText(completion->prompt, completion->maxTokens)}});
         }
         completion = m_completions.erase(completion);
     }
@@ -332,13 +332,13 @@
     // Events that break one promise are added to the history of a clean run: the checker must report a violation of that promise.
     // Guards against a checker that passes whatever happens.
     Cluster cluster;
-    const AnswerPtr answer = cluster.ask("clean", 10);
+    const AnswerPtr answer = cluster.requestCompletion("clean", 10);
     cluster.wait("the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     HttpClientRequest booking = post("/services/booking/bookings", "{}", {{"X-Request-Id", "r1"}});
     cluster.send(booking);
-    cluster.apply(usualConfiguration("[target-class.x]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n"));
+    cluster.apply(defaultConfiguration("[target-class.x]\naccelerator = x\nmemory-gib = 1\ntokens-per-second = 1\n"));
     cluster.waitReady(7);
     cluster.recordStandIns();
     const std::vector<std::string> clean = cluster.history;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -38,11 +38,11 @@
 /// Starts a completion, waits for its first `afterTokens` tokens, and returns the index of the engine that runs `stage`.
 std::size_t startAndFindEngine(Cluster &cluster, AnswerPtr &answer, std::size_t stage, std::uint32_t afterTokens = 10)
 {
-    answer = cluster.ask(prompt, answerTokens);
+    answer = cluster.requestCompletion(prompt, answerTokens);
     cluster.wait("the first tokens", [&] {
-        return answer->events >= afterTokens || answer->isOver;
+        return answer->events >= afterTokens || answer->isEnded;
     });
-    BOOST_REQUIRE(!answer->isOver);
+    BOOST_REQUIRE(!answer->isEnded);
     const std::size_t engine = cluster.engineOfStage(stage);
     BOOST_REQUIRE(engine < cluster.engines.size());
     return engine;
@@ -51,10 +51,10 @@
 void checkAnswer(Cluster &cluster, const AnswerPtr &answer)
 {
     cluster.wait("the end of the answer", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->hasDone);
-    BOOST_TEST(answer->text == cluster.expected(prompt, answerTokens));
+    BOOST_TEST(answer->text == cluster.expectedText(prompt, answerTokens));
 }
 
 /// Positions that an engine applied, over all streams.
@@ -114,7 +114,7 @@
     startAndFindEngine(cluster, answer, 0);
     std::this_thread::sleep_for(milliseconds(1500));
     checkAnswer(cluster, answer);
-    const std::string metrics = cluster.operate("GET", "/operator/v1/metrics").body;
+    const std::string metrics = cluster.sendOperatorRequest("GET", "/operator/v1/metrics").body;
     BOOST_TEST(metrics.find("parsley_stages_replaced_total 0\n") != std::string::npos);
 }
 
@@ -171,7 +171,7 @@
     // Each range has one holder. Its sidecar is killed, and 200 ms later another one starts in its place with a new
     // incarnation. Meanwhile the stream has no chain; the caller waits, and then receives the remainder of its response.
     ClusterOptions options = slowEngines();
-    options.holders = 1;
+    options.enginesPerRange = 1;
     Cluster cluster(options);
     AnswerPtr answer;
     const std::size_t engine = startAndFindEngine(cluster, answer, 1);
@@ -209,7 +209,7 @@
     startAndFindEngine(cluster, answer, 0);
     cluster.killEntry(0);
     cluster.wait("the caller's connection to break", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(!answer->hasDone);
     cluster.wait("sidecars and engines to be free", [&] {
@@ -228,7 +228,7 @@
     // The caller closes its connection in the middle of a response. The entry closes the stages, and the engines stop long
     // before the response would have ended.
     Cluster cluster(slowEngines());
-    const AnswerPtr answer = cluster.ask(prompt, 4000);
+    const AnswerPtr answer = cluster.requestCompletion(prompt, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 3;
     });
@@ -249,7 +249,7 @@
     // result arrives; otherwise the engine's KV cache would fill up with streams that nobody reads.
     Cluster cluster(slowEngines());
     for (int i = 0; i < 60; ++i) {
-        const AnswerPtr answer = cluster.ask("gone " + std::to_string(i), 4000);
+        const AnswerPtr answer = cluster.requestCompletion("gone " + std::to_string(i), 4000);
         cluster.idle(milliseconds(i % 12));
         answer->call->cancel();
     }
@@ -266,7 +266,7 @@
     // The engine of a stage hangs and the stage is replaced. Its sidecar, which is healthy, must be told to close the stream at
     // once and not only at the end of the response, so that its engine can use the memory when it recovers.
     Cluster cluster(slowEngines(milliseconds(300)));
-    AnswerPtr answer = cluster.ask(prompt, 4000);
+    AnswerPtr answer = cluster.requestCompletion(prompt, 4000);
     cluster.wait("the first tokens", [&] {
         return answer->events >= 5;
     });
@@ -278,7 +278,7 @@
     cluster.wait("the sidecar to be free", [&] {
         return cluster.sidecars[engine]->openCount() == 0;
     });
-    BOOST_TEST(!answer->isOver);
+    BOOST_TEST(!answer->isEnded);
 }
 
 BOOST_AUTO_TEST_CASE(caller_of_a_whole_answer_hangs_up)
@@ -309,9 +309,9 @@
         const nlohmann::json status = nlohmann::json::parse(cluster.entries[0]->status());
         return status["coverage"]["assistant@v1"]["10-22"] == 0;
     });
-    const AnswerPtr answer = cluster.ask(prompt, 5);
+    const AnswerPtr answer = cluster.requestCompletion(prompt, 5);
     cluster.wait("the refusal", [&] {
-        return answer->isOver;
+        return answer->isEnded;
     });
     BOOST_TEST(answer->status == 503);
     BOOST_TEST(findHeader(answer->headers, "parsley-outcome") == "not-run");
