--- a/src/base/history.cpp
+++ b/src/base/history.cpp
@@ -33,14 +33,14 @@
     d->sink = std::move(sink);
 }
 
-bool History::isOn() const
+bool History::isEnabled() const
 {
     return d->sink || d->file.is_open();
 }
 
 void History::record(const char *event, std::initializer_list<HistoryField> fields)
 {
-    if (!isOn()) {
+    if (!isEnabled()) {
         return;
     }
     const auto micros = std::chrono::duration_cast<microseconds>(d->clock.now().time_since_epoch()).count();
--- a/src/base/history.h
+++ b/src/base/history.h
@@ -34,7 +34,7 @@
     bool openFile(const std::string &path);
     void setSink(Sink sink);
     /// Whether events are kept; callers on hot paths ask first.
-    bool isOn() const;
+    bool isEnabled() const;
     void record(const char *event, std::initializer_list<HistoryField> fields);
 
 private:
--- a/src/base/ini.cpp
+++ b/src/base/ini.cpp
@@ -20,17 +20,17 @@
 constexpr std::size_t maxKeyBytes = 128; ///< of a line that is longer than inih's buffer
 
 /// State of one parse; handed to inih's callbacks.
-struct Parse {
-    std::string_view rest;                ///< text not read yet
+struct ParseState {
+    std::string_view remainingText;       ///< text not read yet
     int line = 0;                         ///< line last handed to inih
     std::optional<std::string> longValue; ///< value of that line, if it is too long for inih
     IniFile file;                         ///< result
     std::vector<IniProblem> *problems;    ///< where problems go
 };
 
-void addProblem(Parse &parse, const std::string &section, const std::string &key, std::string text)
+void addProblem(ParseState &state, const std::string &section, const std::string &key, std::string text)
 {
-    parse.problems->push_back({section, key, parse.line, std::move(text)});
+    state.problems->push_back({section, key, state.line, std::move(text)});
 }
 
 bool hasControlCharacter(std::string_view line)
@@ -41,7 +41,7 @@
 }
 
 /// Opens a section at its header, so that empty and repeated sections are seen.
-void noteHeader(Parse &parse, std::string_view line)
+void openSection(ParseState &state, std::string_view line)
 {
     const std::string_view header = trimmed(line);
     if (!header.starts_with('[')) {
@@ -52,17 +52,17 @@
         return; // inih reports it
     }
     const std::string name(header.substr(1, end - 1));
-    for (const IniSection &section : parse.file.sections) {
+    for (const IniSection &section : state.file.sections) {
         if (section.name == name) {
-            addProblem(parse, name, "", absl::StrCat("expected one section of this name; the first is at line ", section.line));
+            addProblem(state, name, "", absl::StrCat("expected one section of this name; the first is at line ", section.line));
         }
     }
-    parse.file.sections.push_back({name, parse.line, {}});
+    state.file.sections.push_back({name, state.line, {}});
 }
 
 /// Puts a line's key into the buffer and keeps its value aside: inih's buffer holds 200 bytes, and what is longer it would
 /// cut and read the rest as another line. Returns false if the line is no "key = value".
-bool keepLongValue(Parse &parse, std::string_view line, std::string &shortened)
+bool extractLongValue(ParseState &state, std::string_view line, std::string &shortened)
 {
     const std::size_t equals = line.find_first_of("=:");
     if (equals > maxKeyBytes) { // also when there is none
@@ -77,7 +77,7 @@
             value = value.substr(0, at);
         }
     }
-    parse.longValue = std::string(trimmed(value));
+    state.longValue = std::string(trimmed(value));
     shortened = std::string(line.substr(0, equals + 1)) + " long";
     return true;
 }
@@ -85,31 +85,31 @@
 /// fgets for inih: counts lines, and sees to lines that are longer than its buffer.
 char *readLine(char *buffer, int size, void *stream)
 {
-    auto &parse = *static_cast<Parse *>(stream);
-    parse.longValue.reset();
-    if (parse.rest.empty()) {
+    auto &state = *static_cast<ParseState *>(stream);
+    state.longValue.reset();
+    if (state.remainingText.empty()) {
         return nullptr;
     }
-    ++parse.line;
-    const std::size_t end = parse.rest.find('\n');
-    std::string_view line = parse.rest.substr(0, end);
-    parse.rest = end == std::string_view::npos ? std::string_view() : parse.rest.substr(end + 1);
+    ++state.line;
+    const std::size_t end = state.remainingText.find('\n');
+    std::string_view line = state.remainingText.substr(0, end);
+    state.remainingText = end == std::string_view::npos ? std::string_view() : state.remainingText.substr(end + 1);
     if (line.size() > maxIniLineBytes) {
-        addProblem(parse, "", "", absl::StrCat("expected at most ", maxIniLineBytes, " bytes in a line"));
+        addProblem(state, "", "", absl::StrCat("expected at most ", maxIniLineBytes, " bytes in a line"));
         line = "";
     }
     if (hasControlCharacter(line)) {
-        addProblem(parse, "", "", "expected printable text, found a control character");
+        addProblem(state, "", "", "expected printable text, found a control character");
         line = "";
     }
-    noteHeader(parse, line);
+    openSection(state, line);
     std::string shortened(line);
     const bool isLong = line.size() > static_cast<std::size_t>(size) - 2;
     const bool isComment = trimmed(line).starts_with(';') || trimmed(line).starts_with('#');
-    if (isLong && (isComment || !keepLongValue(parse, line, shortened))) {
+    if (isLong && (isComment || !extractLongValue(state, line, shortened))) {
         shortened.clear();
         if (!isComment) {
-            addProblem(parse, "", "", absl::StrCat("expected key = value, with a key of at most ", maxKeyBytes, " bytes"));
+            addProblem(state, "", "", absl::StrCat("expected key = value, with a key of at most ", maxKeyBytes, " bytes"));
         }
     }
     std::memcpy(buffer, shortened.data(), shortened.size());
@@ -118,27 +118,27 @@
     return buffer;
 }
 
-int takeEntry(void *user, const char *section, const char *name, const char *value)
+int handleEntry(void *user, const char *section, const char *name, const char *value)
 {
-    auto &parse = *static_cast<Parse *>(user);
-    if (parse.file.sections.empty()) {
-        addProblem(parse, section, name, "expected a [section] before the first key");
+    auto &state = *static_cast<ParseState *>(user);
+    if (state.file.sections.empty()) {
+        addProblem(state, section, name, "expected a [section] before the first key");
         return 1;
     }
-    IniSection &current = parse.file.sections.back();
+    IniSection &current = state.file.sections.back();
     for (const IniEntry &entry : current.entries) {
         if (entry.key == name) {
-            addProblem(parse, current.name, name, absl::StrCat("expected the key once; it stands at line ", entry.line, " already"));
+            addProblem(state, current.name, name, absl::StrCat("expected the key once; it stands at line ", entry.line, " already"));
             return 1;
         }
     }
-    std::string text = parse.longValue.value_or(value);
+    std::string text = state.longValue.value_or(value);
     if (text.starts_with(';')) {
         // Written "key =;": a value here, a comment once there is a blank before it, as in the canonical text.
-        addProblem(parse, current.name, name, "expected a value, or a comment with a blank before the ;");
+        addProblem(state, current.name, name, "expected a value, or a comment with a blank before the ;");
         return 1;
     }
-    current.entries.push_back({name, std::move(text), parse.line});
+    current.entries.push_back({name, std::move(text), state.line});
     return 1;
 }
 
@@ -146,19 +146,19 @@
 
 IniFile parseIni(std::string_view text, std::vector<IniProblem> &problems)
 {
-    Parse parse;
-    parse.rest = text;
-    parse.problems = &problems;
+    ParseState state;
+    state.remainingText = text;
+    state.problems = &problems;
     if (text.size() > maxIniBytes) {
-        addProblem(parse, "", "", absl::StrCat("expected at most ", maxIniBytes, " bytes"));
+        addProblem(state, "", "", absl::StrCat("expected at most ", maxIniBytes, " bytes"));
         return {};
     }
     // inih keeps parsing past an error and returns the first bad line, which is all it tells.
-    const int badLine = ini_parse_stream(readLine, &parse, takeEntry, &parse);
+    const int badLine = ini_parse_stream(readLine, &state, handleEntry, &state);
     if (badLine > 0) {
         problems.push_back({"", "", badLine, "expected [section], key = value, or a comment that starts with ;"});
     }
-    return std::move(parse.file);
+    return std::move(state.file);
 }
 
 IniSection findSection(const IniFile &file, const std::string &name)
@@ -207,9 +207,9 @@
 {
 }
 
-const IniEntry *IniSectionReader::take(const char *key, bool required)
+const IniEntry *IniSectionReader::findKey(const char *key, bool required)
 {
-    m_known.emplace_back(key);
+    m_knownKeys.emplace_back(key);
     for (const IniEntry &entry : m_section.entries) {
         if (entry.key == key) {
             return &entry;
@@ -221,44 +221,44 @@
     return nullptr;
 }
 
-void IniSectionReader::problem(const IniEntry &entry, std::string text)
+void IniSectionReader::addKeyProblem(const IniEntry &entry, std::string text)
 {
     m_problems.push_back({m_section.name, entry.key, entry.line, std::move(text)});
 }
 
 void IniSectionReader::string(const char *key, bool required, std::string &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     if (required && entry->value.empty()) {
-        problem(*entry, "expected a value");
+        addKeyProblem(*entry, "expected a value");
     }
     out = entry->value;
 }
 
 void IniSectionReader::choice(const char *key, bool required, std::initializer_list<const char *> choices, std::string &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     out = entry->value;
     if (std::find(choices.begin(), choices.end(), entry->value) == choices.end()) {
-        problem(*entry, "expected one of " + joined({choices.begin(), choices.end()}, ", "));
+        addKeyProblem(*entry, "expected one of " + joined({choices.begin(), choices.end()}, ", "));
     }
 }
 
 void IniSectionReader::integer(const char *key, bool required, std::int64_t min, std::int64_t max, std::int64_t &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     std::int64_t value = 0;
     if (!parseNumber(entry->value, value) || value < min || value > max) {
-        problem(*entry, absl::StrCat("expected a whole number from ", min, " to ", max));
+        addKeyProblem(*entry, absl::StrCat("expected a whole number from ", min, " to ", max));
         return;
     }
     out = value;
@@ -266,13 +266,13 @@
 
 void IniSectionReader::number(const char *key, bool required, double min, double max, double &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     double value = 0;
     if (!parseNumber(entry->value, value) || !(value >= min && value <= max)) {
-        problem(*entry, absl::StrCat("expected a number from ", min, " to ", max));
+        addKeyProblem(*entry, absl::StrCat("expected a number from ", min, " to ", max));
         return;
     }
     out = value;
@@ -280,12 +280,12 @@
 
 void IniSectionReader::boolean(const char *key, bool required, bool &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     if (entry->value != "true" && entry->value != "false") {
-        problem(*entry, "expected true or false");
+        addKeyProblem(*entry, "expected true or false");
         return;
     }
     out = entry->value == "true";
@@ -293,7 +293,7 @@
 
 void IniSectionReader::duration(const char *key, bool required, std::int64_t minMs, std::int64_t maxMs, milliseconds &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
@@ -312,7 +312,7 @@
     std::int64_t count = 0;
     const bool isNumber = unitMs > 0 && parseNumber(digits, count) && count >= 0;
     if (!isNumber || count > maxMs / unitMs || count * unitMs < minMs) {
-        problem(*entry, absl::StrCat("expected a duration such as 250ms, 2s or 1m, from ", minMs, "ms to ", maxMs, "ms"));
+        addKeyProblem(*entry, absl::StrCat("expected a duration such as 250ms, 2s or 1m, from ", minMs, "ms to ", maxMs, "ms"));
         return;
     }
     out = milliseconds(count * unitMs);
@@ -320,21 +320,21 @@
 
 void IniSectionReader::list(const char *key, bool required, std::vector<std::string> &out)
 {
-    const IniEntry *entry = take(key, required);
+    const IniEntry *entry = findKey(key, required);
     if (!entry) {
         return;
     }
     out = splitList(entry->value, ',');
     if (required && out.empty()) {
-        problem(*entry, "expected at least one value");
+        addKeyProblem(*entry, "expected at least one value");
     }
 }
 
 void IniSectionReader::refuseUnknown()
 {
     for (const IniEntry &entry : m_section.entries) {
-        if (std::find(m_known.begin(), m_known.end(), entry.key) == m_known.end()) {
-            problem(entry, "expected one of " + joined(m_known, ", "));
+        if (std::find(m_knownKeys.begin(), m_knownKeys.end(), entry.key) == m_knownKeys.end()) {
+            addKeyProblem(entry, "expected one of " + joined(m_knownKeys, ", "));
         }
     }
 }
--- a/src/base/ini.h
+++ b/src/base/ini.h
@@ -71,12 +71,12 @@
     void refuseUnknown();
 
 private:
-    const IniEntry *take(const char *key, bool required);
-    void problem(const IniEntry &entry, std::string text);
+    const IniEntry *findKey(const char *key, bool required);
+    void addKeyProblem(const IniEntry &entry, std::string text);
 
     const IniSection &m_section;
     std::vector<IniProblem> &m_problems;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_knownKeys;
 };
 
 } // namespace Parsleytrail
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -38,30 +38,30 @@
 static spdlog::logger &logger()
 {
     static const auto instance = [] {
-        auto made = std::make_shared<spdlog::logger>("parsleytrail", std::make_shared<LineSink>());
-        made->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
-        return made;
+        auto created = std::make_shared<spdlog::logger>("parsleytrail", std::make_shared<LineSink>());
+        created->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
+        return created;
     }();
     return *instance;
 }
 
 /// Lines of level info that were not written since the last report.
-static std::uint64_t limitedLines = 0;
+static std::uint64_t rateLimitedLines = 0;
 
 /// Whether a line of level info may be written now.
-static bool tryTakeLine()
+static bool tryConsumeInfoLine()
 {
     using Seconds = std::chrono::duration<double>;
-    static double saved = maxInfoLinesPerSecond;
-    static auto filledAt = std::chrono::steady_clock::now();
+    static double availableLines = maxInfoLinesPerSecond;
+    static auto refilledAt = std::chrono::steady_clock::now();
     const auto now = std::chrono::steady_clock::now();
-    saved = std::min(maxInfoLinesPerSecond, saved + Seconds(now - filledAt).count() * maxInfoLinesPerSecond);
-    filledAt = now;
-    if (saved < 1) {
-        ++limitedLines;
+    availableLines = std::min(maxInfoLinesPerSecond, availableLines + Seconds(now - refilledAt).count() * maxInfoLinesPerSecond);
+    refilledAt = now;
+    if (availableLines < 1) {
+        ++rateLimitedLines;
         return false;
     }
-    saved -= 1;
+    availableLines -= 1;
     return true;
 }
 
@@ -82,8 +82,8 @@
 
 static void appendValue(std::string &line, const std::string &value)
 {
-    const bool isPlain = !value.empty() && value.find_first_of(" \"=\n\r\t") == std::string::npos;
-    if (isPlain) {
+    const bool needsNoQuotes = !value.empty() && value.find_first_of(" \"=\n\r\t") == std::string::npos;
+    if (needsNoQuotes) {
         line += value;
         return;
     }
@@ -99,10 +99,10 @@
 
 bool setLogLevel(std::string_view level)
 {
-    for (const EventLevel known : {EventLevel::Debug, EventLevel::Info, EventLevel::Warning, EventLevel::Error}) {
-        const auto name = spdlog::level::to_string_view(toSpdlog(known));
+    for (const EventLevel candidate : {EventLevel::Debug, EventLevel::Info, EventLevel::Warning, EventLevel::Error}) {
+        const auto name = spdlog::level::to_string_view(toSpdlog(candidate));
         if (level == std::string_view(name.data(), name.size())) {
-            logger().set_level(toSpdlog(known));
+            logger().set_level(toSpdlog(candidate));
             return true;
         }
     }
@@ -120,15 +120,15 @@
 }
 
 /// Tells of lines that were dropped, once there is room again.
-static void reportDropped()
+static void logDroppedLines()
 {
-    const std::uint64_t dropped = output().takeDropped();
-    if (dropped + limitedLines == 0) {
+    const std::uint64_t droppedLines = output().consumeDroppedLines();
+    if (droppedLines + rateLimitedLines == 0) {
         return;
     }
     const std::string line = lineText(Event::LogLinesDropped, eventInfo(Event::LogLinesDropped),
-                                      {{"slow_reader", std::to_string(dropped)}, {"too_many", std::to_string(limitedLines)}});
-    limitedLines = 0;
+                                      {{"slow_reader", std::to_string(droppedLines)}, {"too_many", std::to_string(rateLimitedLines)}});
+    rateLimitedLines = 0;
     logger().log(spdlog::level::warn, line);
 }
 
@@ -136,10 +136,10 @@
 {
     const EventInfo info = eventInfo(event);
     const auto level = toSpdlog(info.level);
-    if (!logger().should_log(level) || (info.level == EventLevel::Info && !tryTakeLine())) {
+    if (!logger().should_log(level) || (info.level == EventLevel::Info && !tryConsumeInfoLine())) {
         return;
     }
-    reportDropped();
+    logDroppedLines();
     logger().log(level, lineText(event, info, fields));
 }
 
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -45,16 +45,16 @@
 
 double TimeHistogram::quantile(double q) const
 {
-    const double wanted = q * static_cast<double>(d->count);
-    double seen = 0;
+    const double rank = q * static_cast<double>(d->count);
+    double cumulativeCount = 0;
     for (auto &&bucket : bh::indexed(d->histogram, bh::coverage::all)) {
         const auto inBucket = static_cast<double>(*bucket);
-        if (inBucket > 0 && seen + inBucket >= wanted) {
+        if (inBucket > 0 && cumulativeCount + inBucket >= rank) {
             const double low = bucket.index() < 0 ? 0 : bucket.bin().lower();
             const double high = bucket.index() >= static_cast<int>(bucketCount) ? largestSeconds : bucket.bin().upper();
-            return low + (high - low) * (wanted - seen) / inBucket;
+            return low + (high - low) * (rank - cumulativeCount) / inBucket;
         }
-        seen += inBucket;
+        cumulativeCount += inBucket;
     }
     return 0;
 }
@@ -112,12 +112,12 @@
     for (const auto &[name, entry] : d->histograms) {
         out << "# TYPE " << name << " histogram\n# UNIT " << name << " seconds\n# HELP " << name << ' ' << entry.help << '\n';
         const TimeHistogram::Private &data = *entry.value.d;
-        std::uint64_t below = 0;
+        std::uint64_t cumulativeCount = 0;
         for (auto &&bucket : bh::indexed(data.histogram, bh::coverage::all)) {
-            below += *bucket;
+            cumulativeCount += *bucket;
             const bool isShown = *bucket > 0 && bucket.index() < static_cast<int>(bucketCount);
             if (isShown) {
-                out << name << "_bucket{le=\"" << (bucket.index() < 0 ? smallestSeconds : bucket.bin().upper()) << "\"} " << below << '\n';
+                out << name << "_bucket{le=\"" << (bucket.index() < 0 ? smallestSeconds : bucket.bin().upper()) << "\"} " << cumulativeCount << '\n';
             }
         }
         out << name << "_bucket{le=\"+Inf\"} " << data.count << '\n' << name << "_count " << data.count << '\n' << name << "_sum " << data.sum << '\n';
--- a/src/base/output_sink.cpp
+++ b/src/base/output_sink.cpp
@@ -19,7 +19,7 @@
 void OutputSink::write(std::string_view line)
 {
     if (m_buffer.size() + line.size() > maxLogBufferBytes) {
-        ++m_dropped;
+        ++m_droppedLines;
     } else {
         m_buffer.append(line);
     }
@@ -40,7 +40,7 @@
         }
         if (size <= 0) {
             // Nobody reads any more: the lines are lost, the process goes on.
-            m_dropped += std::count(m_buffer.begin(), m_buffer.end(), '\n');
+            m_droppedLines += std::count(m_buffer.begin(), m_buffer.end(), '\n');
             m_buffer.clear();
             return;
         }
@@ -48,12 +48,12 @@
     }
 }
 
-std::uint64_t OutputSink::takeDropped()
+std::uint64_t OutputSink::consumeDroppedLines()
 {
-    return std::exchange(m_dropped, 0);
+    return std::exchange(m_droppedLines, 0);
 }
 
-std::size_t OutputSink::waiting() const
+std::size_t OutputSink::pendingBytes() const
 {
     return m_buffer.size();
 }
--- a/src/base/output_sink.h
+++ b/src/base/output_sink.h
@@ -25,13 +25,13 @@
     /// Writes what can be written at once.
     void flush();
     /// Lines dropped since the last call.
-    std::uint64_t takeDropped();
-    std::size_t waiting() const;
+    std::uint64_t consumeDroppedLines();
+    std::size_t pendingBytes() const;
 
 private:
     int m_descriptor;
     std::string m_buffer;
-    std::uint64_t m_dropped = 0;
+    std::uint64_t m_droppedLines = 0;
 };
 
 } // namespace Parsleytrail
--- a/src/base/settings_file.cpp
+++ b/src/base/settings_file.cpp
@@ -40,17 +40,17 @@
     }
 }
 
-static void checkSections(const IniFile &file, const std::string &wanted, std::vector<IniProblem> &problems)
+static void checkSections(const IniFile &file, const std::string &expectedName, std::vector<IniProblem> &problems)
 {
-    bool isThere = false;
+    bool isPresent = false;
     for (const IniSection &section : file.sections) {
-        isThere = isThere || section.name == wanted;
-        if (section.name != wanted) {
-            problems.push_back({section.name, "", section.line, "expected only the section [" + wanted + "]"});
+        isPresent = isPresent || section.name == expectedName;
+        if (section.name != expectedName) {
+            problems.push_back({section.name, "", section.line, "expected only the section [" + expectedName + "]"});
         }
     }
-    if (!isThere) {
-        problems.push_back({wanted, "", 0, "expected this section"});
+    if (!isPresent) {
+        problems.push_back({expectedName, "", 0, "expected this section"});
     }
 }
 
--- a/src/ctl/client.cpp
+++ b/src/ctl/client.cpp
@@ -3,7 +3,8 @@
 namespace Parsleytrail
 {
 
-HttpResult askOperator(const OperatorTarget &target, const std::string &method, const std::string &path, const std::string &body, const HttpHeaders &headers)
+HttpResult sendOperatorRequest(const OperatorEndpoint &endpoint, const std::string &method, const std::string &path, const std::string &body,
+                               const HttpHeaders &headers)
 {
     EventLoop loop;
     HttpClient client(loop);
@@ -11,22 +12,22 @@
     request.method = method;
     request.path = path;
     request.headers = headers;
-    request.headers.push_back({"Authorization", "Bearer " + target.key});
+    request.headers.push_back({"Authorization", "Bearer " + endpoint.key});
     request.body = body;
-    request.timeout = target.timeout;
+    request.timeout = endpoint.timeout;
     request.useFreshConnection = true;
     request.maxBodyBytes = 64u << 20;
     HttpResult result;
     bool isDone = false;
-    client.fetch(target.address, std::move(request), [&](const HttpResult &answer) {
-        result = answer;
+    client.fetch(endpoint.address, std::move(request), [&](const HttpResult &response) {
+        result = response;
         isDone = true;
     });
     loop.runUntil(
         [&isDone] {
             return isDone;
         },
-        target.timeout + milliseconds(1000));
+        endpoint.timeout + milliseconds(1000));
     return result;
 }
 
--- a/src/ctl/client.h
+++ b/src/ctl/client.h
@@ -7,14 +7,14 @@
 {
 
 /// Where and as whom to ask.
-struct OperatorTarget {
+struct OperatorEndpoint {
     Address address;             ///< operator port of an entry
     std::string key;             ///< operators' credential
     milliseconds timeout{10000}; ///< longest wait
 };
 
 /// Sends a request and waits for its answer.
-HttpResult askOperator(const OperatorTarget &target, const std::string &method, const std::string &path, const std::string &body = {},
-                       const HttpHeaders &headers = {});
+HttpResult sendOperatorRequest(const OperatorEndpoint &endpoint, const std::string &method, const std::string &path, const std::string &body = {},
+                               const HttpHeaders &headers = {});
 
 } // namespace Parsleytrail
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -54,7 +54,7 @@
 /// Asks for a JSON document. Returns ExitDone with `body` filled, or the exit status of the failure.
 static int fetchJson(const CtlOptions &options, const std::string &path, json &body)
 {
-    const HttpResult result = askOperator(options.target, "GET", path);
+    const HttpResult result = sendOperatorRequest(options.endpoint, "GET", path);
     if (!result.isOk()) {
         return reportFailure(options, result);
     }
@@ -68,7 +68,7 @@
 
 // [SECTION] Files
 
-static bool readText(const std::string &file, std::string &text)
+static bool readTextFile(const std::string &file, std::string &text)
 {
     Error error;
     const auto read = [&]() -> Result<void> {
@@ -97,9 +97,9 @@
 }
 
 /// Reads and checks a file as the entries do. Returns ExitDone, or the exit status of what is wrong.
-static int loadChecked(const CtlOptions &options, const std::string &file, std::string &text, Configuration &configuration)
+static int loadConfiguration(const CtlOptions &options, const std::string &file, std::string &text, Configuration &configuration)
 {
-    if (!readText(file, text)) {
+    if (!readTextFile(file, text)) {
         return ExitUsage;
     }
     std::vector<IniProblem> problems;
@@ -115,7 +115,7 @@
 {
     std::string text;
     Configuration configuration;
-    const int status = loadChecked(options, file, text, configuration);
+    const int status = loadConfiguration(options, file, text, configuration);
     if (status != ExitDone) {
         return status;
     }
@@ -142,9 +142,9 @@
 }
 
 /// Reads the configuration in force and its version. Returns ExitDone or the exit status of the failure.
-static int fetchInForce(const CtlOptions &options, Configuration &configuration)
+static int fetchConfigurationInForce(const CtlOptions &options, Configuration &configuration)
 {
-    const HttpResult result = askOperator(options.target, "GET", "/operator/v1/configuration");
+    const HttpResult result = sendOperatorRequest(options.endpoint, "GET", "/operator/v1/configuration");
     if (!result.isOk()) {
         return reportFailure(options, result);
     }
@@ -168,27 +168,27 @@
 }
 
 /// A checked file beside what is in force.
-struct FileInForce {
-    std::string text;      ///< of the file
-    Configuration wanted;  ///< the file
-    Configuration inForce; ///< at the entry
+struct FileComparison {
+    std::string text;       ///< of the file
+    Configuration proposed; ///< the file
+    Configuration inForce;  ///< at the entry
 };
 
 /// Returns ExitDone or the exit status of what is wrong.
-static int loadBeside(const CtlOptions &options, const std::string &file, FileInForce &both)
+static int loadForComparison(const CtlOptions &options, const std::string &file, FileComparison &comparison)
 {
-    const int status = loadChecked(options, file, both.text, both.wanted);
-    return status != ExitDone ? status : fetchInForce(options, both.inForce);
+    const int status = loadConfiguration(options, file, comparison.text, comparison.proposed);
+    return status != ExitDone ? status : fetchConfigurationInForce(options, comparison.inForce);
 }
 
 int runDiff(const CtlOptions &options, const std::string &file)
 {
-    FileInForce both;
-    if (const int status = loadBeside(options, file, both); status != ExitDone) {
+    FileComparison comparison;
+    if (const int status = loadForComparison(options, file, comparison); status != ExitDone) {
         return status;
     }
-    const auto &[text, wanted, inForce] = both;
-    const json changes = differencesToJson(compareConfigurations(inForce, wanted));
+    const auto &[text, proposed, inForce] = comparison;
+    const json changes = differencesToJson(compareConfigurations(inForce, proposed));
     if (options.isJson) {
         std::cout << json{{"version", inForce.version.value}, {"changes", changes}}.dump(2) << '\n';
     } else {
@@ -200,19 +200,19 @@
 
 int runApply(const CtlOptions &options, const std::string &file)
 {
-    FileInForce both;
-    if (const int status = loadBeside(options, file, both); status != ExitDone) {
+    FileComparison comparison;
+    if (const int status = loadForComparison(options, file, comparison); status != ExitDone) {
         return status;
     }
-    const auto &[text, wanted, inForce] = both;
+    const auto &[text, proposed, inForce] = comparison;
     const std::uint64_t base = options.version > 0 ? options.version : inForce.version.value;
     if (!options.isJson) {
         std::cout << "changes against version " << inForce.version.value << ":\n";
-        printChanges(differencesToJson(compareConfigurations(inForce, wanted)));
+        printChanges(differencesToJson(compareConfigurations(inForce, proposed)));
     }
     // What was shown is what is replaced: if another operator was faster, this file is refused and not merged blindly.
     const std::string path = std::string("/operator/v1/configuration") + (options.isDryRun ? "?dry-run" : "");
-    const HttpResult result = askOperator(options.target, "PUT", path, text, {{"If-Match", "\"" + std::to_string(base) + "\""}});
+    const HttpResult result = sendOperatorRequest(options.endpoint, "PUT", path, text, {{"If-Match", "\"" + std::to_string(base) + "\""}});
     if (result.failure && result.failure->wasHandedOver) {
         std::cerr << "the entry did not answer: the file may be accepted yet; look at `parsleyctl history`\n";
         return ExitUnknown;
@@ -226,19 +226,19 @@
     } else {
         std::cout << body.value("result", "") << ": version " << body.value("version", std::uint64_t{0}) << '\n';
     }
-    if (!options.waits || options.isDryRun) {
+    if (!options.shouldWait || options.isDryRun) {
         return ExitDone;
     }
-    CtlOptions waiting = options;
-    waiting.version = body.value("version", std::uint64_t{0});
-    return runWait(waiting);
+    CtlOptions waitOptions = options;
+    waitOptions.version = body.value("version", std::uint64_t{0});
+    return runWait(waitOptions);
 }
 
 // [SECTION] Looking
 
 int runShow(const CtlOptions &options)
 {
-    const HttpResult result = askOperator(options.target, "GET", "/operator/v1/configuration");
+    const HttpResult result = sendOperatorRequest(options.endpoint, "GET", "/operator/v1/configuration");
     if (!result.isOk()) {
         return reportFailure(options, result);
     }
@@ -271,11 +271,11 @@
 {
     std::cout << "targets:\n";
     for (const json &target : targets) {
-        const std::string holds = target.contains("layers")
-                                      ? target.value("model", "") + "@" + target.value("version", "") + " layers " + target.value("layers", "")
-                                      : "service " + target.value("service", "");
+        const std::string assignment = target.contains("layers")
+                                           ? target.value("model", "") + "@" + target.value("version", "") + " layers " + target.value("layers", "")
+                                           : "service " + target.value("service", "");
         std::cout << "  " << std::left << std::setw(20) << target.value("id", "") << std::setw(10) << target.value("state", "") << std::setw(14)
-                  << target.value("dataCenter", "") << std::setw(32) << holds << "v" << target.value("configuration", 0) << "  streams "
+                  << target.value("dataCenter", "") << std::setw(32) << assignment << "v" << target.value("configuration", 0) << "  streams "
                   << target.value("streams", 0) << (target.value("isLeaving", false) ? "  leaving" : "") << '\n';
     }
 }
@@ -380,13 +380,13 @@
 // [SECTION] Waiting
 
 /// Processes that do not have the version in force yet.
-static std::vector<std::string> stragglersOf(const json &status, std::uint64_t version)
+static std::vector<std::string> findStragglers(const json &status, std::uint64_t version)
 {
     std::vector<std::string> names;
     for (const char *kind : {"entries", "targets"}) {
         for (const json &process : status.value(kind, json::array())) {
-            const bool isSilent = process.value("state", "") == "Silent";
-            if (!isSilent && process.value("configuration", std::uint64_t{0}) < version) {
+            const bool isTimedOut = process.value("state", "") == "Silent";
+            if (!isTimedOut && process.value("configuration", std::uint64_t{0}) < version) {
                 names.push_back(process.value("id", ""));
             }
         }
@@ -396,7 +396,7 @@
 
 int runWait(const CtlOptions &options)
 {
-    const auto deadline = std::chrono::steady_clock::now() + options.waitFor;
+    const auto deadline = std::chrono::steady_clock::now() + options.waitTimeout;
     std::uint64_t version = options.version;
     std::vector<std::string> stragglers;
     while (true) {
@@ -407,7 +407,7 @@
         if (version == 0) {
             version = status["configuration"].value("version", std::uint64_t{0});
         }
-        stragglers = stragglersOf(status, version);
+        stragglers = findStragglers(status, version);
         if (stragglers.empty() || std::chrono::steady_clock::now() >= deadline) {
             break;
         }
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -15,17 +15,17 @@
 
 /// Options of all commands.
 struct CtlOptions {
-    OperatorTarget target;        ///< entry to ask
-    bool isJson = false;          ///< --format=json
-    bool isDryRun = false;        ///< --dry-run: apply changes nothing
-    bool waits = false;           ///< --wait: apply waits until the version is in force everywhere
-    std::uint64_t version = 0;    ///< --at-version: version that apply expects to replace, or that wait waits for; 0: the newest
-    milliseconds waitFor{60000};  ///< --timeout: longest wait
-    int limit = 20;               ///< --limit: rows of the history
-    bool isCsv = false;           ///< --format=csv: report only
-    std::string from;             ///< --from: first hour of the report, UTC
-    std::string to;               ///< --to: hour after the last
-    std::string by = "workspace"; ///< --by: workspace, service or model
+    OperatorEndpoint endpoint;       ///< entry to ask
+    bool isJson = false;             ///< --format=json
+    bool isDryRun = false;           ///< --dry-run: apply changes nothing
+    bool shouldWait = false;         ///< --wait: apply waits until the version is in force everywhere
+    std::uint64_t version = 0;       ///< --at-version: version that apply expects to replace, or that wait waits for; 0: the newest
+    milliseconds waitTimeout{60000}; ///< --timeout: longest wait
+    int limit = 20;                  ///< --limit: rows of the history
+    bool isCsv = false;              ///< --format=csv: report only
+    std::string from;                ///< --from: first hour of the report, UTC
+    std::string to;                  ///< --to: hour after the last
+    std::string by = "workspace";    ///< --by: workspace, service or model
 };
 
 int runCheck(const CtlOptions &options, const std::string &file);
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -62,29 +62,29 @@
   parsleyctl report --from=2026-12-01 --to=2026-12-02 --by=workspace --format=csv
 )";
 
-static std::string environment(const char *name, const char *fallback)
+static std::string environmentValue(const char *name, const char *fallback)
 {
     const char *value = std::getenv(name);
     return value ? value : fallback;
 }
 
 /// Fills in where to ask and as whom. Returns false, after saying why, if an option is wrong.
-static bool readTarget(CtlOptions &options)
+static bool readEndpoint(CtlOptions &options)
 {
-    const std::string entry = absl::GetFlag(FLAGS_entry).empty() ? environment("PARSLEY_ENTRY", "127.0.0.1:8081") : absl::GetFlag(FLAGS_entry);
+    const std::string entry = absl::GetFlag(FLAGS_entry).empty() ? environmentValue("PARSLEY_ENTRY", "127.0.0.1:8081") : absl::GetFlag(FLAGS_entry);
     Error error;
     const auto parse = [&]() -> Result<void> {
-        BOOST_LEAF_ASSIGN(options.target.address, parseAddress(entry));
+        BOOST_LEAF_ASSIGN(options.endpoint.address, parseAddress(entry));
         return {};
     };
     if (!runCatching(parse, error)) {
         std::cerr << "--entry: " << error.toString() << '\n';
         return false;
     }
-    options.target.key = environment("PARSLEY_OPERATOR_KEY", "");
+    options.endpoint.key = environmentValue("PARSLEY_OPERATOR_KEY", "");
     if (!absl::GetFlag(FLAGS_key_file).empty()) {
         std::ifstream file(absl::GetFlag(FLAGS_key_file));
-        if (!std::getline(file, options.target.key)) {
+        if (!std::getline(file, options.endpoint.key)) {
             std::cerr << "--key_file: cannot be read\n";
             return false;
         }
@@ -92,21 +92,21 @@
     return true;
 }
 
-static int runCommand(const CtlOptions &options, const std::vector<std::string> &words)
+static int runCommand(const CtlOptions &options, const std::vector<std::string> &arguments)
 {
-    const std::map<std::string, std::function<int(const CtlOptions &, const std::string &)>> withFile = {
+    const std::map<std::string, std::function<int(const CtlOptions &, const std::string &)>> commandsWithFile = {
         {"check", runCheck}, {"apply", runApply}, {"diff", runDiff}};
-    const std::map<std::string, std::function<int(const CtlOptions &)>> alone = {{"show", runShow},      {"history", runHistory}, {"status", runStatus},
-                                                                                 {"wait", runWait},      {"dump", runDump},       {"report", runReport},
-                                                                                 {"version", runVersion}};
-    const bool hasCommand = !words.empty();
-    if (hasCommand && words.size() == 2 && withFile.count(words[0])) {
-        return withFile.at(words[0])(options, words[1]);
+    const std::map<std::string, std::function<int(const CtlOptions &)>> commandsWithoutFile = {
+        {"show", runShow}, {"history", runHistory}, {"status", runStatus},  {"wait", runWait},
+        {"dump", runDump}, {"report", runReport},   {"version", runVersion}};
+    const bool hasCommand = !arguments.empty();
+    if (hasCommand && arguments.size() == 2 && commandsWithFile.count(arguments[0])) {
+        return commandsWithFile.at(arguments[0])(options, arguments[1]);
     }
-    if (hasCommand && words.size() == 1 && alone.count(words[0])) {
-        return alone.at(words[0])(options);
+    if (hasCommand && arguments.size() == 1 && commandsWithoutFile.count(arguments[0])) {
+        return commandsWithoutFile.at(arguments[0])(options);
     }
-    std::cerr << "parsleyctl: expected a command" << (hasCommand ? ", found '" + words[0] + "' or the wrong number of files" : "")
+    std::cerr << "parsleyctl: expected a command" << (hasCommand ? ", found '" + arguments[0] + "' or the wrong number of files" : "")
               << "; see parsleyctl --help\n";
     return ExitUsage;
 }
@@ -117,9 +117,9 @@
         std::cout << helpText;
         return ExitDone;
     }
-    const std::vector<char *> rest = absl::ParseCommandLine(argc, argv);
+    const std::vector<char *> positional = absl::ParseCommandLine(argc, argv);
     const std::string format = absl::GetFlag(FLAGS_format);
-    const bool isReport = rest.size() == 2 && std::string(rest[1]) == "report";
+    const bool isReport = positional.size() == 2 && std::string(positional[1]) == "report";
     if (format != "text" && format != "json" && !(format == "csv" && isReport)) {
         std::cerr << "--format: expected text or json, or csv for report\n";
         return ExitUsage;
@@ -131,12 +131,12 @@
     options.to = absl::GetFlag(FLAGS_to);
     options.by = absl::GetFlag(FLAGS_by);
     options.isDryRun = absl::GetFlag(FLAGS_dry_run);
-    options.waits = absl::GetFlag(FLAGS_wait);
+    options.shouldWait = absl::GetFlag(FLAGS_wait);
     options.version = absl::GetFlag(FLAGS_at_version);
-    options.waitFor = std::chrono::seconds(absl::GetFlag(FLAGS_timeout));
+    options.waitTimeout = std::chrono::seconds(absl::GetFlag(FLAGS_timeout));
     options.limit = absl::GetFlag(FLAGS_limit);
-    if (!readTarget(options)) {
+    if (!readEndpoint(options)) {
         return ExitUsage;
     }
-    return runCommand(options, {rest.begin() + 1, rest.end()});
+    return runCommand(options, {positional.begin() + 1, positional.end()});
 }
--- a/src/entry/configuration_keeper.cpp
+++ b/src/entry/configuration_keeper.cpp
@@ -150,7 +150,7 @@
     recordChange(log, configuration, fresh);
     configuration = std::move(fresh);
     logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"digest", configuration.digest}});
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("configuration", {{"version", configuration.version.value}, {"digest", configuration.digest}});
     }
     changed();
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -24,7 +24,7 @@
 
     std::vector<Address> picked() const;
     EntryAnnouncement describeSelf() const;
-    void takeList(const std::vector<ListedInstance> &instances);
+    void takeList(const std::vector<RegisteredInstance> &instances);
 };
 
 /// The best of `candidates` for this entry by rendezvous hashing.
@@ -65,11 +65,11 @@
     return result;
 }
 
-void Peers::Private::takeList(const std::vector<ListedInstance> &instances)
+void Peers::Private::takeList(const std::vector<RegisteredInstance> &instances)
 {
     std::vector<TargetId> leavingTargets;
     listed.clear();
-    for (const ListedInstance &instance : instances) {
+    for (const RegisteredInstance &instance : instances) {
         if (instance.role == "entry" && !instance.isLeaving) {
             listed.push_back(instance.address);
         }
@@ -164,7 +164,7 @@
         return;
     }
     d->nextPoll = now + listPollInterval;
-    d->store.readMembership([this, weak = std::weak_ptr(d->alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
+    d->store.readMembership([this, weak = std::weak_ptr(d->alive)](StoreStatus status, const std::vector<RegisteredInstance> &instances) {
         if (!weak.expired() && status == StoreStatus::Ok) {
             d->takeList(instances);
         }
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -173,7 +173,7 @@
     call.address = link->peerName();
     call.excluded.insert(call.target);
     targets.noteOpened(call.target);
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("call-sent",
                                {{"request", request.value}, {"target", call.target.value}, {"nonIdempotent", std::uint64_t{call.isNonIdempotent ? 1u : 0u}}});
     }
@@ -214,7 +214,7 @@
     problem.outcome == Outcome::NotRun ? work.countRefused(call.owner) : work.countUnknown(call.owner, 0);
     logEvent(Event::CallFailed,
              {{"request", request.value}, {"service", call.service.value}, {"outcome", outcomeText(problem.outcome)}, {"reason", problem.detail}});
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.shownId}, {"outcome", outcomeText(problem.outcome)}});
     }
     const ExchangePtr exchange = call.exchange;
@@ -272,7 +272,7 @@
     targets.noteSuccess(call.target);
     leaveTarget(call);
     endKey(call, call.isTooLongToKeep ? KeyEnd::Unknown : KeyEnd::Answered);
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.shownId}, {"outcome", "answered"}});
     }
     const ExchangePtr exchange = call.exchange;
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -187,7 +187,7 @@
             targets.noteOpened(stage.target);
         }
     }
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record(
             "attempt",
             {{"request", stream.request.id.value}, {"attempt", std::uint64_t{stream.attempt.value}}, {"emitted", std::uint64_t{stream.emitted.size()}}});
@@ -308,7 +308,7 @@
                                    {"step", error.step},
                                    {"peer", error.peer},
                                    {"reason", error.text}});
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("stream-ended", {{"request", stream.request.id.value}, {"outcome", failure.outcome == Outcome::NotRun ? "not-run" : "unknown"}});
     }
     const auto handlers = stream.handlers;
@@ -346,7 +346,7 @@
     stream->idleQueries = 0;
     stream->hasQuery = false;
     ++tokensEmitted;
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("token", {{"request", frame.request.value},
                                          {"index", std::uint64_t{frame.index}},
                                          {"token", std::uint64_t{frame.token}},
--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -131,11 +131,11 @@
         return;
     }
     nextPoll = now + (known.empty() ? membershipPollAlone : membershipPoll);
-    store.readMembership([this, weak = std::weak_ptr(alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
+    store.readMembership([this, weak = std::weak_ptr(alive)](StoreStatus status, const std::vector<RegisteredInstance> &instances) {
         if (weak.expired() || status != StoreStatus::Ok) {
             return;
         }
-        for (const ListedInstance &instance : instances) {
+        for (const RegisteredInstance &instance : instances) {
             if (instance.role == "entry" && !instance.isLeaving) {
                 known[instance.address].heardAt = context.clock.now();
             }
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -127,7 +127,7 @@
     if (!call) {
         return;
     }
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("call-ended", {{"request", request.value}, {"failed", std::uint64_t{failure ? 1u : 0u}}});
     }
     if (failure) {
@@ -154,7 +154,7 @@
     out.maxBodyBytes = SIZE_MAX;
     call.startedAt = context.clock.now();
     ++handedOver;
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("handed-over", {{"request", request.value}, {"nonIdempotent", std::uint64_t{call.head.nonIdempotent ? 1u : 0u}}});
     }
     HttpStreamHandlers handlers;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -186,7 +186,7 @@
     case UpdateResult::Applied:
         configuration = std::move(fresh);
         logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"from", link->peer().process}});
-        if (history.isOn()) {
+        if (history.isEnabled()) {
             history.record("configuration", {{"version", configuration.version.value}});
         }
         announcer->announce();
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -332,7 +332,7 @@
     endStep(stream->core, result.promptLength, result.positions, result.activations);
     positionsApplied += result.positions;
     kept += (stream->core.kept.size() - keptBefore) * sizeof(std::uint64_t);
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("applied", {{"request", request.value},
                                            {"attempt", std::uint64_t{stream->core.attempt.value}},
                                            {"position", std::uint64_t{position}},
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -47,18 +47,18 @@
 
     using Done = std::function<void(StoreStatus, const std::string &)>;
     void call(Access access, HttpClientRequest request, Done done);
-    void refuse(const Done &done, const char *why);
-    StoreStatus judge(Access access, const HttpResult &result);
+    void rejectCall(const Done &done, const char *why);
+    StoreStatus classifyResult(Access access, const HttpResult &result);
 };
 
-void Store::Private::refuse(const Done &done, const char *why)
+void Store::Private::rejectCall(const Done &done, const char *why)
 {
     loop.defer([done, text = std::string(why)] {
         done(StoreStatus::Unavailable, text);
     });
 }
 
-StoreStatus Store::Private::judge(Access access, const HttpResult &result)
+StoreStatus Store::Private::classifyResult(Access access, const HttpResult &result)
 {
     const bool hasFailed = result.failure || result.status >= 500;
     if (!hasFailed) {
@@ -82,17 +82,17 @@
 {
     const TimePoint now = clock.now();
     if (!tryAcquireCall(circuit, now)) {
-        return refuse(done, "circuit open");
+        return rejectCall(done, "circuit open");
     }
     if (!tryConsume(access == Access::Read ? readBudget : writeBudget, now)) {
         circuit.isProbing = false;
-        return refuse(done, "over this process's share of the store");
+        return rejectCall(done, "over this process's share of the store");
     }
     ++(access == Access::Read ? reads : writes);
     request.timeout = limits.timeout;
     client.fetch(platform, std::move(request), [this, access, done, alive = std::weak_ptr(alive)](const HttpResult &result) {
         if (!alive.expired()) {
-            done(judge(access, result), result.body);
+            done(classifyResult(access, result), result.body);
         }
     });
 }
@@ -105,10 +105,10 @@
 Store::~Store() = default;
 
 /// Parses an answer; malformed JSON counts as a store that does not work.
-static bool parseAnswer(const std::string &text, json &answer)
+static bool parseResponse(const std::string &text, json &response)
 {
-    answer = json::parse(text, nullptr, false);
-    return answer.is_object();
+    response = json::parse(text, nullptr, false);
+    return response.is_object();
 }
 
 static Row toRow(const json &item)
@@ -117,12 +117,12 @@
 }
 
 /// Percent-encodes what has a meaning in a URL.
-static std::string urlEscape(std::string_view text)
+static std::string percentEncode(std::string_view text)
 {
     std::string escaped;
     for (const char c : text) {
-        const bool isPlain = std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' || c == '~';
-        if (isPlain) {
+        const bool isUnreserved = std::isalnum(static_cast<unsigned char>(c)) || c == '-' || c == '_' || c == '.' || c == '~';
+        if (isUnreserved) {
             escaped += c;
         } else {
             absl::StrAppend(&escaped, "%", absl::Hex(static_cast<unsigned char>(c), absl::kZeroPad2));
@@ -134,16 +134,16 @@
 void Store::readRow(const std::string &table, const std::string &key, std::function<void(StoreStatus, const Row &)> done)
 {
     HttpClientRequest request;
-    request.path = absl::StrCat("/tables/", table, "/rows/", urlEscape(key));
+    request.path = absl::StrCat("/tables/", table, "/rows/", percentEncode(key));
     d->call(Access::Read, std::move(request), [done = std::move(done)](StoreStatus status, const std::string &body) {
-        json answer;
+        json response;
         if (status != StoreStatus::Ok) {
             return done(status, {});
         }
-        if (!parseAnswer(body, answer)) {
+        if (!parseResponse(body, response)) {
             return done(StoreStatus::Unavailable, {});
         }
-        done(StoreStatus::Ok, toRow(answer));
+        done(StoreStatus::Ok, toRow(response));
     });
 }
 
@@ -151,15 +151,15 @@
                      std::function<void(StoreStatus, const std::vector<Row> &)> done)
 {
     HttpClientRequest request;
-    request.path = absl::StrCat("/tables/", table, "/rows?from=", urlEscape(from), "&to=", urlEscape(to), "&limit=", limit);
+    request.path = absl::StrCat("/tables/", table, "/rows?from=", percentEncode(from), "&to=", percentEncode(to), "&limit=", limit);
     d->call(Access::Read, std::move(request), [done = std::move(done)](StoreStatus status, const std::string &body) {
-        json answer;
-        if (status == StoreStatus::Ok && !parseAnswer(body, answer)) {
+        json response;
+        if (status == StoreStatus::Ok && !parseResponse(body, response)) {
             status = StoreStatus::Unavailable;
         }
         std::vector<Row> rows;
-        if (status == StoreStatus::Ok && answer.contains("rows")) {
-            for (const json &item : answer["rows"]) {
+        if (status == StoreStatus::Ok && response.contains("rows")) {
+            for (const json &item : response["rows"]) {
                 rows.push_back(toRow(item));
             }
         }
@@ -187,7 +187,7 @@
 {
     HttpClientRequest request;
     request.method = "PUT";
-    request.path = absl::StrCat("/objects/", urlEscape(name));
+    request.path = absl::StrCat("/objects/", percentEncode(name));
     request.body = bytes;
     d->call(Access::Write, std::move(request), [done = std::move(done)](StoreStatus status, const std::string &) {
         done(status);
@@ -197,25 +197,25 @@
 void Store::readObject(const std::string &name, std::function<void(StoreStatus, const std::string &)> done)
 {
     HttpClientRequest request;
-    request.path = absl::StrCat("/objects/", urlEscape(name));
+    request.path = absl::StrCat("/objects/", percentEncode(name));
     d->call(Access::Read, std::move(request), std::move(done));
 }
 
-void Store::readMembership(std::function<void(StoreStatus, const std::vector<ListedInstance> &)> done)
+void Store::readMembership(std::function<void(StoreStatus, const std::vector<RegisteredInstance> &)> done)
 {
     HttpClientRequest request;
     request.path = "/membership";
     d->call(Access::Read, std::move(request), [done = std::move(done)](StoreStatus status, const std::string &body) {
-        json answer;
-        if (status == StoreStatus::Ok && !parseAnswer(body, answer)) {
+        json response;
+        if (status == StoreStatus::Ok && !parseResponse(body, response)) {
             status = StoreStatus::Unavailable;
         }
-        std::vector<ListedInstance> instances;
-        if (status != StoreStatus::Ok || !answer.contains("instances")) {
+        std::vector<RegisteredInstance> instances;
+        if (status != StoreStatus::Ok || !response.contains("instances")) {
             return done(status, instances);
         }
-        for (const json &item : answer["instances"]) {
-            ListedInstance instance;
+        for (const json &item : response["instances"]) {
+            RegisteredInstance instance;
             instance.id = item.value("id", "");
             instance.role = item.value("role", "");
             instance.address = {item.value("host", ""), item.value("port", std::uint16_t{0})};
@@ -236,8 +236,8 @@
     if (!isDown()) {
         return milliseconds(0);
     }
-    const auto left = std::chrono::duration_cast<milliseconds>(d->circuit.probeAt - d->clock.now());
-    return std::max(left, milliseconds(0));
+    const auto remaining = std::chrono::duration_cast<milliseconds>(d->circuit.probeAt - d->clock.now());
+    return std::max(remaining, milliseconds(0));
 }
 
 std::uint64_t Store::reads() const
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -36,7 +36,7 @@
 };
 
 /// An instance on the platform's list. The list lags.
-struct ListedInstance {
+struct RegisteredInstance {
     std::string id;         ///< id of the instance
     std::string role;       ///< entry or sidecar
     Address address;        ///< peer port
@@ -67,7 +67,7 @@
     /// Puts an object if there is none of that name; Ok also if there is.
     void putObject(const std::string &name, const std::string &bytes, std::function<void(StoreStatus)> done);
     void readObject(const std::string &name, std::function<void(StoreStatus, const std::string &)> done);
-    void readMembership(std::function<void(StoreStatus, const std::vector<ListedInstance> &)> done);
+    void readMembership(std::function<void(StoreStatus, const std::vector<RegisteredInstance> &)> done);
 
     /// Whether the circuit is open: calls fail at once with Unavailable.
     bool isDown() const;
--- a/tests/output_sink_test.cpp
+++ b/tests/output_sink_test.cpp
@@ -56,10 +56,10 @@
     sink.write("one\n");
     sink.write("two\n");
     BOOST_TEST(pipe.drain() == "one\ntwo\n");
-    BOOST_TEST(sink.waiting() == 0U);
+    BOOST_TEST(sink.pendingBytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatDoesNotReadCostsLinesAndNoTime)
+BOOST_AUTO_TEST_CASE(blockedReaderDropsLinesWithoutBlockingTheWriter)
 {
     // Nobody reads. The pipe fills, then the buffer; from then on lines are dropped and counted. When the reader is back
     // it gets whole lines, the oldest first.
@@ -69,11 +69,11 @@
     for (int i = 0; i < 2000; ++i) {
         sink.write(line);
     }
-    BOOST_TEST(sink.waiting() <= maxLogBufferBytes);
-    const std::uint64_t dropped = sink.takeDropped();
+    BOOST_TEST(sink.pendingBytes() <= maxLogBufferBytes);
+    const std::uint64_t dropped = sink.consumeDroppedLines();
     BOOST_TEST(dropped > 1000U);
     std::string read;
-    while (sink.waiting() > 0) {
+    while (sink.pendingBytes() > 0) {
         read += pipe.drain();
         sink.flush();
     }
@@ -81,17 +81,17 @@
     BOOST_TEST(read.size() == (2000 - dropped) * line.size());
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatIsGoneIsSurvived)
+BOOST_AUTO_TEST_CASE(closedReaderDropsLinesWithoutEndingTheProcess)
 {
     std::signal(SIGPIPE, SIG_IGN);
     Pipe pipe;
     pipe.closeReader();
     OutputSink sink(pipe.ends[1]);
     sink.write("lost\n");
-    BOOST_TEST(sink.waiting() == 0U);
-    BOOST_TEST(sink.takeDropped() == 1U);
+    BOOST_TEST(sink.pendingBytes() == 0U);
+    BOOST_TEST(sink.consumeDroppedLines() == 1U);
     sink.write("lost too\n");
-    BOOST_TEST(sink.takeDropped() == 1U);
+    BOOST_TEST(sink.consumeDroppedLines() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
