--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// Time, passed in so that tests decide what time it is.
+// Clock interface, injected so that tests can control the time.
 #pragma once
 
 #include "base/ids.h"
@@ -9,25 +9,25 @@
 {
 
 using TimePoint = std::chrono::steady_clock::time_point; ///< for intervals and deadlines
-using WallTime = std::chrono::system_clock::time_point;  ///< for dates shown to people and kept in the store
+using WallTime = std::chrono::system_clock::time_point;  ///< for dates that are displayed or stored
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Source of time.
+/// Source of monotonic and wall-clock time.
 class Clock
 {
 public:
     virtual ~Clock() = default;
-    /// Monotonic time; a SIGSTOP does not stop it.
+    /// Monotonic time. Keeps advancing while the process is stopped by SIGSTOP.
     virtual TimePoint now() const = 0;
-    /// Date and time of day; may jump.
+    /// Date and time of day. May jump in either direction when the system clock is set.
     virtual WallTime wallTime() const = 0;
 };
 
-/// Incarnation of a process that starts now.
+/// Incarnation for a process that starts now: the wall time in microseconds since 1970.
 Incarnation incarnationNow(const Clock &clock);
 
-/// The machine's clocks.
+/// Clock of the operating system.
 class SystemClock final : public Clock
 {
 public:
--- a/src/base/command_line.h
+++ b/src/base/command_line.h
@@ -1,10 +1,10 @@
-// What every program's command line has.
+// Command-line handling that all programs share.
 #pragma once
 
 namespace Parsleytrail
 {
 
-/// Whether --help is among the arguments. Asked before Abseil parses them, whose own help exits with 1 and lists flags only.
+/// Whether --help is among the arguments. Call it before Abseil parses them: Abseil's own help exits with 1 and lists only flags.
 bool wantsHelp(int argc, char **argv);
 
 } // namespace Parsleytrail
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,4 +1,4 @@
-// Digests: SHA-256 where others must not be able to forge, XXH3 where only spread matters.
+// Hash functions: SHA-256 where forgery must be infeasible, XXH3 where only an even distribution matters.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 namespace Parsleytrail
 {
 
-/// SHA-256, 64 hexadecimal digits.
+/// SHA-256 digest as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view bytes);
-/// XXH3 64 bit.
+/// 64-bit XXH3 hash. Not cryptographic.
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed = 0);
-/// 128 random bits from the operating system, 32 hexadecimal digits.
+/// 128 cryptographically random bits from OpenSSL as 32 hexadecimal digits.
 std::string randomHex();
-/// Whether two strings are equal, in a time that does not tell where they differ.
+/// Whether two strings are equal. Takes the same time wherever they differ, so that timing does not reveal the position.
 bool equalConstantTime(std::string_view a, std::string_view b);
 
 } // namespace Parsleytrail
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -1,6 +1,6 @@
-// Errors that carry the step and the peer at which they arose.
+// Errors that carry the step that failed and the peer or file involved.
 //
-// Functions that finish at once return Result<T>; callbacks of asynchronous work are handed an Error.
+// Synchronous functions return Result<T>; callbacks of asynchronous operations receive an Error.
 #pragma once
 
 #include <boost/leaf/error.hpp>
@@ -11,23 +11,23 @@
 namespace Parsleytrail
 {
 
-/// What went wrong, where.
+/// A failed step, the other side and the reason.
 struct Error {
-    std::string step; ///< what was being done, e.g. "read settings"
-    std::string peer; ///< other side or file, e.g. "127.0.0.1:8090"; empty if none
+    std::string step; ///< operation that failed, e.g. "read settings"
+    std::string peer; ///< peer or file involved, e.g. "127.0.0.1:8090"; empty if none
     std::string text; ///< reason
 
-    /// "step (peer): text", for logs and people.
+    /// "step (peer): text", or "step: text" without a peer.
     std::string toString() const;
 };
 
 template<typename T>
 using Result = boost::leaf::result<T>;
 
-/// Fails a function that returns Result.
+/// Creates the error to return from a function with the return type Result.
 boost::leaf::error_id fail(std::string step, std::string peer, std::string text);
 
-/// Runs `work`, which returns Result<void>; returns true, or false with `error` filled.
+/// Runs `work`, which returns Result<void>. Returns true on success; else false, with `error` set.
 template<typename Work>
 bool runCatching(Work &&work, Error &error);
 
--- a/src/base/history.h
+++ b/src/base/history.h
@@ -1,5 +1,5 @@
-// History of what a process did, as JSON lines, for checking the promises of a run afterwards. Off unless a file or a
-// sink is set; used by tests and the bench.
+// Event history of a process as JSON lines, from which tests and benchmarks check the guarantees of a run afterwards.
+// Disabled unless a file or a sink is set.
 #pragma once
 
 #include "base/clock.h"
@@ -16,24 +16,24 @@
 
 /// One field of a history event.
 struct HistoryField {
-    const char *name;                               ///< key
+    const char *name;                               ///< JSON key
     std::variant<std::string, std::uint64_t> value; ///< value
 };
 
-/// Where a process records its events.
+/// Recorder of the events of one process.
 class History
 {
 public:
     using Sink = std::function<void(const std::string &line)>;
 
-    /// `process` and its start stand in every event.
+    /// Every event carries `process` and `incarnation`.
     History(const Clock &clock, std::string process, std::uint64_t incarnation);
     ~History();
 
-    /// Appends to a file. Returns false if it can't be opened.
+    /// Opens the file to append events to. Returns false if it can't be opened.
     bool openFile(const std::string &path);
     void setSink(Sink sink);
-    /// Whether events are kept; callers on hot paths ask first.
+    /// Whether events are recorded. Hot paths check it before they build the fields.
     bool isEnabled() const;
     void record(const char *event, std::initializer_list<HistoryField> fields);
 
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,6 +1,6 @@
-// Strong types for the names and numbers that cross module borders.
+// Strong types for names and numbers in the interfaces of modules.
 //
-// A TargetId can't be passed where a RequestId is wanted. Each type is a plain struct around its value.
+// A TargetId can't be passed where a RequestId is expected. Each type is a plain struct around its value.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 namespace Parsleytrail
 {
 
-/// A name; Tag keeps names of different things apart.
+/// A name. Tag makes names of different kinds distinct types.
 template<typename Tag>
 struct Name {
     std::string value; ///< empty: none
@@ -23,7 +23,7 @@
     }
 };
 
-/// A counted number; Tag keeps numbers of different things apart.
+/// A number. Tag makes numbers of different kinds distinct types.
 template<typename Tag, typename Rep>
 struct Number {
     Rep value = 0; ///< 0: none
@@ -31,17 +31,17 @@
     auto operator<=>(const Number &) const = default;
 };
 
-using RequestId = Name<struct RequestIdTag>;         ///< one request of a caller, unique in the system
+using RequestId = Name<struct RequestIdTag>;         ///< request of a caller, unique in the system
 using TargetId = Name<struct TargetIdTag>;           ///< an engine or application, with its sidecar
-using EntryId = Name<struct EntryIdTag>;             ///< an entry
+using EntryId = Name<struct EntryIdTag>;             ///< a process that callers send requests to
 using ModelName = Name<struct ModelNameTag>;         ///< a model of the configuration
 using ServiceName = Name<struct ServiceNameTag>;     ///< a service of the configuration
 using WorkspaceName = Name<struct WorkspaceNameTag>; ///< a workspace of the configuration
 
-using Incarnation = Number<struct IncarnationTag, std::uint64_t>;                   ///< start of a process, microseconds since 1970; a later start is higher
-using Attempt = Number<struct AttemptTag, std::uint32_t>;                           ///< attempt of a request, from 1
-using ConfigurationVersion = Number<struct ConfigurationVersionTag, std::uint64_t>; ///< accepted configuration, from 1
-using FencingNumber = Number<struct FencingNumberTag, std::uint64_t>;               ///< grows with each change of a lease's holder
+using Incarnation = Number<struct IncarnationTag, std::uint64_t>;                   ///< start of a process, microseconds since 1970; higher for a later start
+using Attempt = Number<struct AttemptTag, std::uint32_t>;                           ///< attempt at a request, counted from 1
+using ConfigurationVersion = Number<struct ConfigurationVersionTag, std::uint64_t>; ///< version of an accepted configuration, from 1
+using FencingNumber = Number<struct FencingNumberTag, std::uint64_t>;               ///< increases with each change of a lease's holder
 
 } // namespace Parsleytrail
 
--- a/src/base/ini.cpp
+++ b/src/base/ini.cpp
@@ -17,15 +17,15 @@
 namespace
 {
 
-constexpr std::size_t maxKeyBytes = 128; ///< of a line that is longer than inih's buffer
+constexpr std::size_t maxKeyBytes = 128; ///< longest key in a line that does not fit into inih's buffer
 
-/// State of one parse; handed to inih's callbacks.
+/// State of one parse, passed to inih's callbacks.
 struct ParseState {
-    std::string_view remainingText;       ///< text not read yet
-    int line = 0;                         ///< line last handed to inih
-    std::optional<std::string> longValue; ///< value of that line, if it is too long for inih
+    std::string_view remainingText;       ///< text not yet read
+    int line = 0;                         ///< number of the line last passed to inih, from 1
+    std::optional<std::string> longValue; ///< value of that line if the line exceeds inih's buffer
     IniFile file;                         ///< result
-    std::vector<IniProblem> *problems;    ///< where problems go
+    std::vector<IniProblem> *problems;    ///< receives the problems found
 };
 
 void addProblem(ParseState &state, const std::string &section, const std::string &key, std::string text)
@@ -40,7 +40,7 @@
     });
 }
 
-/// Opens a section at its header, so that empty and repeated sections are seen.
+/// Adds a section if the line is a section header. inih only reports keys, so empty and repeated sections are detected here.
 void openSection(ParseState &state, std::string_view line)
 {
     const std::string_view header = trimmed(line);
@@ -49,7 +49,7 @@
     }
     const std::size_t end = header.find(']');
     if (end == std::string_view::npos) {
-        return; // inih reports it
+        return; // inih reports the missing bracket
     }
     const std::string name(header.substr(1, end - 1));
     for (const IniSection &section : state.file.sections) {
@@ -60,12 +60,13 @@
     state.file.sections.push_back({name, state.line, {}});
 }
 
-/// Puts a line's key into the buffer and keeps its value aside: inih's buffer holds 200 bytes, and what is longer it would
-/// cut and read the rest as another line. Returns false if the line is no "key = value".
+/// Stores the value of a long line in `state.longValue` and sets `shortened` to the key with a placeholder value: inih's
+/// buffer holds 200 bytes, and inih would split a longer line and parse the remainder as another line. Returns false if the
+/// line is not "key = value".
 bool extractLongValue(ParseState &state, std::string_view line, std::string &shortened)
 {
     const std::size_t equals = line.find_first_of("=:");
-    if (equals > maxKeyBytes) { // also when there is none
+    if (equals > maxKeyBytes) { // npos, without a separator, is larger too
         return false;
     }
     std::string_view value = line.substr(equals + 1);
@@ -82,7 +83,7 @@
     return true;
 }
 
-/// fgets for inih: counts lines, and sees to lines that are longer than its buffer.
+/// Replaces fgets as inih's line reader: counts lines, checks them and shortens those that exceed inih's buffer.
 char *readLine(char *buffer, int size, void *stream)
 {
     auto &state = *static_cast<ParseState *>(stream);
@@ -128,14 +129,14 @@
     IniSection &current = state.file.sections.back();
     for (const IniEntry &entry : current.entries) {
         if (entry.key == name) {
-            addProblem(state, current.name, name, absl::StrCat("expected the key once; it stands at line ", entry.line, " already"));
+            addProblem(state, current.name, name, absl::StrCat("expected the key once; it is set at line ", entry.line, " already"));
             return 1;
         }
     }
     std::string text = state.longValue.value_or(value);
     if (text.starts_with(';')) {
-        // Written "key =;": a value here, a comment once there is a blank before it, as in the canonical text.
-        addProblem(state, current.name, name, "expected a value, or a comment with a blank before the ;");
+        // "key =;..." gives a value that starts with ";" here. The canonical text puts a space before it, which makes it a comment.
+        addProblem(state, current.name, name, "expected a value, or a comment with a space before the ;");
         return 1;
     }
     current.entries.push_back({name, std::move(text), state.line});
@@ -153,7 +154,7 @@
         addProblem(state, "", "", absl::StrCat("expected at most ", maxIniBytes, " bytes"));
         return {};
     }
-    // inih keeps parsing past an error and returns the first bad line, which is all it tells.
+    // inih continues after an error and returns only the number of the first malformed line.
     const int badLine = ini_parse_stream(readLine, &state, handleEntry, &state);
     if (badLine > 0) {
         problems.push_back({"", "", badLine, "expected [section], key = value, or a comment that starts with ;"});
--- a/src/base/ini.h
+++ b/src/base/ini.h
@@ -1,6 +1,6 @@
-// INI text into sections with line numbers, and checked reading of their keys.
+// Parses INI text into sections with line numbers, and reads their keys with validation.
 //
-// All problems of a text are collected, each with section, key and line, so that an operator mends a file in one go.
+// All problems of a text are collected, each with section, key and line, so that an operator can correct a file in one pass.
 #pragma once
 
 #include "base/clock.h"
@@ -14,11 +14,11 @@
 namespace Parsleytrail
 {
 
-/// A problem of an INI text.
+/// A problem found in an INI text.
 struct IniProblem {
-    std::string section; ///< section name, or empty
-    std::string key;     ///< key, or empty
-    int line = 0;        ///< from 1; 0 if it belongs to no line
+    std::string section; ///< section name; empty if it belongs to no section
+    std::string key;     ///< key; empty if it belongs to no key
+    int line = 0;        ///< line number from 1; 0 if it belongs to no line
     std::string text;    ///< what was expected
 
     /// "line 3, [service.chat] kind: expected ..."
@@ -28,33 +28,35 @@
 /// One key with its value.
 struct IniEntry {
     std::string key;   ///< as written
-    std::string value; ///< without surrounding blanks
-    int line = 0;      ///< from 1
+    std::string value; ///< without surrounding whitespace
+    int line = 0;      ///< line number from 1
 };
 
-/// One section.
+/// One section with its keys.
 struct IniSection {
     std::string name;              ///< text between the brackets
     int line = 0;                  ///< line of the header; 0 if the section is missing
-    std::vector<IniEntry> entries; ///< in the order of the text
+    std::vector<IniEntry> entries; ///< in file order
 };
 
-/// A parsed text.
+/// A parsed INI text.
 struct IniFile {
-    std::vector<IniSection> sections; ///< in the order of the text
+    std::vector<IniSection> sections; ///< in file order
 };
 
-constexpr std::size_t maxIniBytes = 8u << 20;  ///< larger texts are refused
-constexpr std::size_t maxIniLineBytes = 16384; ///< longer lines are refused, never cut
+constexpr std::size_t maxIniBytes = 8u << 20;  ///< larger texts are rejected
+constexpr std::size_t maxIniLineBytes = 16384; ///< longer lines are rejected, never truncated
 
-/// Parses a text. Repeated sections, repeated keys, keys before any section, over-long lines and control characters are problems.
+/// Parses a text. Adds a problem for each syntax error, repeated section, repeated key, key before any section, over-long line
+/// and control character.
 IniFile parseIni(std::string_view text, std::vector<IniProblem> &problems);
-/// The section, or an empty one with that name.
+/// The section with that name, or an empty one if it is missing.
 IniSection findSection(const IniFile &file, const std::string &name);
-/// The section as text with sorted keys and no comments: equal settings give equal text.
+/// The section as text with sorted keys and without comments: equal settings give equal text.
 std::string canonicalText(const IniSection &section);
 
-/// Reads the keys of one section into fields; every call names one key.
+/// Reads the keys of one section into variables. Each call reads one key; a missing optional key leaves `out` unchanged, and
+/// a missing required or invalid one adds a problem.
 class IniSectionReader
 {
 public:
@@ -67,7 +69,7 @@
     void boolean(const char *key, bool required, bool &out);
     void duration(const char *key, bool required, std::int64_t minMs, std::int64_t maxMs, milliseconds &out);
     void list(const char *key, bool required, std::vector<std::string> &out);
-    /// Adds a problem for each key that no call above has named.
+    /// Adds a problem for each key of the section that was not read by one of the calls above.
     void refuseUnknown();
 
 private:
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -19,7 +19,7 @@
     return instance;
 }
 
-/// Hands spdlog's formatted lines to the output.
+/// spdlog sink that writes formatted lines to the output.
 class LineSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex>
 {
 protected:
@@ -45,10 +45,10 @@
     return *instance;
 }
 
-/// Lines of level info that were not written since the last report.
+/// Lines of level info that the rate limit dropped since the last report.
 static std::uint64_t rateLimitedLines = 0;
 
-/// Whether a line of level info may be written now.
+/// Consumes one line from the rate limit of level info. Returns false, and counts the line, if the limit is reached.
 static bool tryConsumeInfoLine()
 {
     using Seconds = std::chrono::duration<double>;
@@ -119,7 +119,7 @@
     return line;
 }
 
-/// Tells of lines that were dropped, once there is room again.
+/// Logs how many lines were dropped since the last report, if any.
 static void logDroppedLines()
 {
     const std::uint64_t droppedLines = output().consumeDroppedLines();
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -10,7 +10,7 @@
 
 namespace bh = boost::histogram;
 
-constexpr unsigned bucketCount = 160; ///< 20 to a decade: a bucket is 12% wide
+constexpr unsigned bucketCount = 160; ///< 20 per decade: a bucket is 12% wide
 constexpr double smallestSeconds = 1e-5;
 constexpr double largestSeconds = 1e3;
 
@@ -59,7 +59,7 @@
     return 0;
 }
 
-/// A value with its help text.
+/// A metric with its help text.
 template<typename T>
 struct Described {
     T value{};        ///< current value
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and time histograms of one process, and their OpenMetrics text.
+// Counters, gauges and time histograms of one process, exported as OpenMetrics text.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace Parsleytrail
 {
 
-/// Times, in logarithmic buckets from 10 us to 1000 s.
+/// Histogram of durations in logarithmic buckets from 10 us to 1000 s.
 class TimeHistogram
 {
 public:
@@ -17,10 +17,10 @@
     ~TimeHistogram();
     TimeHistogram(TimeHistogram &&) noexcept;
 
-    /// Counts one time. Allocates nothing.
+    /// Adds one duration. Allocates nothing.
     void record(double seconds);
     std::uint64_t count() const;
-    /// Time under which the share `q` (0 to 1) of the records lies, interpolated within its bucket; 0 if empty. Seconds.
+    /// The quantile `q` (0 to 1) in seconds, interpolated linearly within its bucket; 0 if the histogram is empty.
     double quantile(double q) const;
 
 private:
@@ -29,20 +29,20 @@
     std::unique_ptr<Private> d;
 };
 
-/// All metrics of a process, by name. Names follow OpenMetrics (counters without _total).
+/// All metrics of a process by name. Names follow OpenMetrics; the text adds _total to counters.
 class Metrics
 {
 public:
     Metrics();
     ~Metrics();
 
-    /// The counter of that name; the reference stays good, so hot paths look it up once.
+    /// The counter of that name, created on first use. The reference stays valid, so hot paths look it up once.
     std::uint64_t &counter(const std::string &name, const char *help);
-    /// The gauge of that name.
+    /// The gauge of that name, created on first use. The reference stays valid.
     double &gauge(const std::string &name, const char *help);
-    /// The histogram of that name; seconds.
+    /// The histogram of that name, in seconds, created on first use. The reference stays valid.
     TimeHistogram &histogram(const std::string &name, const char *help);
-    /// OpenMetrics text, ending with # EOF.
+    /// All metrics as OpenMetrics text, ending with "# EOF".
     std::string openMetricsText() const;
 
 private:
--- a/src/base/output_sink.cpp
+++ b/src/base/output_sink.cpp
@@ -33,13 +33,13 @@
         if (poll(&ready, 1, 0) <= 0 || !(ready.revents & (POLLOUT | POLLERR | POLLHUP))) {
             return;
         }
-        // A pipe that is ready takes this much without blocking; more could.
+        // A pipe that polls as writable accepts PIPE_BUF bytes without blocking; a larger write could block.
         const ssize_t size = ::write(m_descriptor, m_buffer.data(), std::min<std::size_t>(m_buffer.size(), PIPE_BUF));
         if (size < 0 && (errno == EINTR || errno == EAGAIN)) {
             return;
         }
         if (size <= 0) {
-            // Nobody reads any more: the lines are lost, the process goes on.
+            // The reader has closed its end: drop the lines and continue.
             m_droppedLines += std::count(m_buffer.begin(), m_buffer.end(), '\n');
             m_buffer.clear();
             return;
--- a/src/base/output_sink.h
+++ b/src/base/output_sink.h
@@ -1,7 +1,7 @@
-// A log sink that writes lines to a file descriptor and never waits for its reader.
+// Writes log lines to a file descriptor without ever blocking on its reader.
 //
-// A process that blocks on its own log stops serving when whoever reads the log is slow. Lines wait in a bounded buffer
-// here; what does not fit is dropped and counted, and the count is written as soon as there is room.
+// A process that blocks on its own log stops serving when the log's reader is slow. Lines are held in a bounded buffer;
+// those that do not fit are dropped and counted, so that the caller can log the count later.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,21 @@
 namespace Parsleytrail
 {
 
-constexpr std::size_t maxLogBufferBytes = 256 * 1024; ///< some thousand lines: seconds of a slow reader at the usual rate
+constexpr std::size_t maxLogBufferBytes = 256 * 1024; ///< some thousand lines: covers a reader that is stalled for seconds at the usual rate
 
-/// Buffer before a descriptor. One thread.
+/// Bounded buffer in front of a file descriptor. Not thread-safe.
 class OutputSink
 {
 public:
     explicit OutputSink(int descriptor);
 
-    /// Adds a line, with its line end, and writes what can be written at once.
+    /// Adds a line, which includes its line end, and writes as much of the buffer as possible without blocking.
     void write(std::string_view line);
-    /// Writes what can be written at once.
+    /// Writes as much of the buffer as possible without blocking.
     void flush();
-    /// Lines dropped since the last call.
+    /// Returns the number of lines dropped since the last call and resets it.
     std::uint64_t consumeDroppedLines();
+    /// Bytes that are buffered and not yet written.
     std::size_t pendingBytes() const;
 
 private:
--- a/src/base/settings_file.h
+++ b/src/base/settings_file.h
@@ -1,4 +1,4 @@
-// Reading a process's settings file, and the command line that all daemons share.
+// Reads a process's settings file and reports its problems.
 #pragma once
 
 #include "base/errors.h"
@@ -10,14 +10,14 @@
 namespace Parsleytrail
 {
 
-/// Whole content of a file. Fails with the step "read file".
+/// Content of a file. Fails with the step "read file".
 Result<std::string> readFile(const std::string &path);
 
-/// Adds a problem for each key of the section whose value is not an address; lists are checked item by item.
+/// Adds a problem for each invalid address in the values of the given keys; lists are checked item by item.
 void checkAddresses(const IniSection &section, std::initializer_list<const char *> keys, std::vector<IniProblem> &problems);
 
-/// Reads the only section of a settings file into `read`, and prints all problems to standard error.
-/// Returns false if there were any. Other sections are problems.
+/// Loads a settings file, which must hold the given section and no other, passes the section to `read` and prints all problems
+/// to standard error. Returns false if there were any.
 bool loadSettings(const std::string &path, const char *sectionName, const std::function<void(const IniSection &, std::vector<IniProblem> &)> &read);
 
 } // namespace Parsleytrail
--- a/src/base/text.h
+++ b/src/base/text.h
@@ -1,7 +1,7 @@
-// Small helpers on text.
+// Text helpers.
 //
-// Debian's Abseil is built with a string_view of its own, so its string functions do not take std::string_view; these
-// few are all that the project needs of them.
+// Debian's Abseil is built with its own string_view type, so that its string functions do not accept std::string_view.
+// These functions replace the few that the project needs.
 #pragma once
 
 #include <charconv>
@@ -12,18 +12,18 @@
 namespace Parsleytrail
 {
 
-/// Without blanks, tabs and line ends around it.
+/// The text without leading and trailing spaces, tabs and line ends.
 std::string_view trimmed(std::string_view text);
-/// Parts between separators, trimmed, without empty ones.
+/// The non-empty parts between separators, trimmed.
 std::vector<std::string> splitList(std::string_view text, char separator);
-/// Whether two texts are equal but for the case of ASCII letters.
+/// Compares two texts, ignoring the case of ASCII letters.
 bool equalsIgnoringCase(std::string_view a, std::string_view b);
-/// Removes the prefix if `text` starts with it.
+/// Removes the prefix from `text`. Returns false and changes nothing if `text` does not start with it.
 bool consumePrefix(std::string_view &text, std::string_view prefix);
-/// Items with a separator between them.
+/// Concatenates the items with a separator between them.
 std::string joined(const std::vector<std::string> &items, std::string_view separator);
 
-/// Reads a whole text as a number; false, with `out` unspecified, if it is none or out of range.
+/// Parses the entire text as a number. Returns false, with `out` unspecified, if it is not a number or out of range.
 template<typename NumberType>
 bool parseNumber(std::string_view text, NumberType &out)
 {
--- a/src/ctl/client.h
+++ b/src/ctl/client.h
@@ -1,4 +1,4 @@
-// One request to an entry's operator port, waited for.
+// Synchronous HTTP requests to an entry's operator port.
 #pragma once
 
 #include "http/client.h"
@@ -6,14 +6,14 @@
 namespace Parsleytrail
 {
 
-/// Where and as whom to ask.
+/// Address and credential of an operator request.
 struct OperatorEndpoint {
     Address address;             ///< operator port of an entry
-    std::string key;             ///< operators' credential
-    milliseconds timeout{10000}; ///< longest wait
+    std::string key;             ///< operators' credential, sent as a bearer token
+    milliseconds timeout{10000}; ///< longest wait for the response
 };
 
-/// Sends a request and waits for its answer.
+/// Sends a request and blocks until its response or a failure.
 HttpResult sendOperatorRequest(const OperatorEndpoint &endpoint, const std::string &method, const std::string &path, const std::string &body = {},
                                const HttpHeaders &headers = {});
 
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] Answers, [SECTION] Files, [SECTION] Applying, [SECTION] Looking, [SECTION] Waiting
+// Index: [SECTION] Responses, [SECTION] Files, [SECTION] Applying, [SECTION] Inspecting, [SECTION] Waiting
 #include "ctl/commands.h"
 
 #include "base/settings_file.h"
@@ -18,9 +18,9 @@
 
 constexpr milliseconds waitPollInterval{200};
 
-// [SECTION] Answers
+// [SECTION] Responses
 
-/// Exit status of an answer that is not a success, after printing it.
+/// Prints a failed request and returns the exit status for it.
 static int reportFailure(const CtlOptions &options, const HttpResult &result)
 {
     if (result.failure) {
@@ -51,7 +51,7 @@
     return isUnknown ? ExitUnknown : ExitRefused;
 }
 
-/// Asks for a JSON document. Returns ExitDone with `body` filled, or the exit status of the failure.
+/// Fetches a JSON document. Returns ExitDone with `body` set, or the exit status of the failure, which it has printed.
 static int fetchJson(const CtlOptions &options, const std::string &path, json &body)
 {
     const HttpResult result = sendOperatorRequest(options.endpoint, "GET", path);
@@ -60,7 +60,7 @@
     }
     body = json::parse(result.body, nullptr, false);
     if (!body.is_object()) {
-        std::cerr << "the entry's answer is not JSON\n";
+        std::cerr << "the entry's response is not a JSON object\n";
         return ExitUnreachable;
     }
     return ExitDone;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Reads and checks a file as the entries do. Returns ExitDone, or the exit status of what is wrong.
+/// Loads a configuration file and validates it as the entries do. Returns ExitDone, or the exit status after printing the problems.
 static int loadConfiguration(const CtlOptions &options, const std::string &file, std::string &text, Configuration &configuration)
 {
     if (!readTextFile(file, text)) {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Reads the configuration in force and its version. Returns ExitDone or the exit status of the failure.
+/// Fetches the configuration in force and its version. Returns ExitDone, or the exit status of the failure.
 static int fetchConfigurationInForce(const CtlOptions &options, Configuration &configuration)
 {
     const HttpResult result = sendOperatorRequest(options.endpoint, "GET", "/operator/v1/configuration");
@@ -167,14 +167,14 @@
     return list;
 }
 
-/// A checked file beside what is in force.
+/// A valid configuration file and the configuration in force.
 struct FileComparison {
-    std::string text;       ///< of the file
-    Configuration proposed; ///< the file
-    Configuration inForce;  ///< at the entry
+    std::string text;       ///< text of the file
+    Configuration proposed; ///< parsed file
+    Configuration inForce;  ///< in force at the entry
 };
 
-/// Returns ExitDone or the exit status of what is wrong.
+/// Loads both sides of a comparison. Returns ExitDone, or the exit status of the failure.
 static int loadForComparison(const CtlOptions &options, const std::string &file, FileComparison &comparison)
 {
     const int status = loadConfiguration(options, file, comparison.text, comparison.proposed);
@@ -210,11 +210,12 @@
         std::cout << "changes against version " << inForce.version.value << ":\n";
         printChanges(differencesToJson(compareConfigurations(inForce, proposed)));
     }
-    // What was shown is what is replaced: if another operator was faster, this file is refused and not merged blindly.
+    // The entry replaces only the version that the changes were shown against: if another operator applied a file in the meantime,
+    // this one is refused instead of overwriting it.
     const std::string path = std::string("/operator/v1/configuration") + (options.isDryRun ? "?dry-run" : "");
     const HttpResult result = sendOperatorRequest(options.endpoint, "PUT", path, text, {{"If-Match", "\"" + std::to_string(base) + "\""}});
     if (result.failure && result.failure->wasHandedOver) {
-        std::cerr << "the entry did not answer: the file may be accepted yet; look at `parsleyctl history`\n";
+        std::cerr << "no response from the entry: the file may have been accepted; check with `parsleyctl history`\n";
         return ExitUnknown;
     }
     if (!result.isOk()) {
@@ -234,7 +235,7 @@
     return runWait(waitOptions);
 }
 
-// [SECTION] Looking
+// [SECTION] Inspecting
 
 int runShow(const CtlOptions &options)
 {
@@ -298,7 +299,7 @@
                   << entry.value("dataCenter", "") << "v" << entry.value("configuration", 0) << '\n';
     }
     printTargets(body["targets"]);
-    std::cout << "coverage (holders that take work, for each layer range):\n";
+    std::cout << "coverage (targets that accept new work, for each layer range):\n";
     for (const auto &[model, ranges] : body["coverage"].items()) {
         std::cout << "  " << model << ": " << ranges.dump() << '\n';
     }
@@ -316,7 +317,7 @@
     return ExitDone;
 }
 
-/// Accelerator seconds of all kinds, and by kind as text.
+/// Sum of the accelerator seconds of all kinds, and the seconds of each kind as "kind=seconds" text.
 static std::pair<double, std::string> acceleratorSeconds(const json &line)
 {
     double sum = 0;
@@ -379,7 +380,7 @@
 
 // [SECTION] Waiting
 
-/// Processes that do not have the version in force yet.
+/// Ids of the entries and targets on which the version is not yet in force, except those that have timed out.
 static std::vector<std::string> findStragglers(const json &status, std::uint64_t version)
 {
     std::vector<std::string> names;
--- a/src/ctl/commands.h
+++ b/src/ctl/commands.h
@@ -1,7 +1,7 @@
 // The commands of parsleyctl.
 //
-// Each prints its result as text or JSON and returns the exit status: 0 done, 1 refused, 2 usage, 3 unreachable,
-// 4 the outcome is not known.
+// Each prints its result as text or JSON and returns the exit status: 0 done, 1 refused, 2 wrong usage, 3 unreachable,
+// 4 outcome unknown.
 #pragma once
 
 #include "ctl/client.h"
@@ -13,18 +13,18 @@
 
 enum ExitStatus { ExitDone = 0, ExitRefused = 1, ExitUsage = 2, ExitUnreachable = 3, ExitUnknown = 4 };
 
-/// Options of all commands.
+/// Command-line options of all commands.
 struct CtlOptions {
-    OperatorEndpoint endpoint;       ///< entry to ask
+    OperatorEndpoint endpoint;       ///< operator port of the entry to contact
     bool isJson = false;             ///< --format=json
-    bool isDryRun = false;           ///< --dry-run: apply changes nothing
+    bool isDryRun = false;           ///< --dry_run: apply changes nothing
     bool shouldWait = false;         ///< --wait: apply waits until the version is in force everywhere
-    std::uint64_t version = 0;       ///< --at-version: version that apply expects to replace, or that wait waits for; 0: the newest
-    milliseconds waitTimeout{60000}; ///< --timeout: longest wait
-    int limit = 20;                  ///< --limit: rows of the history
-    bool isCsv = false;              ///< --format=csv: report only
-    std::string from;                ///< --from: first hour of the report, UTC
-    std::string to;                  ///< --to: hour after the last
+    std::uint64_t version = 0;       ///< --at_version: version that apply expects to replace, or that wait waits for; 0: the one in force at the entry
+    milliseconds waitTimeout{60000}; ///< --timeout: longest wait for a version to be in force everywhere
+    int limit = 20;                  ///< --limit: number of versions that history shows
+    bool isCsv = false;              ///< --format=csv, for report only
+    std::string from;                ///< --from: first hour or day of the report, UTC
+    std::string to;                  ///< --to: hour or day after the last, UTC
     std::string by = "workspace";    ///< --by: workspace, service or model
 };
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// parsleyctl: what operators run.
+// parsleyctl: the operators' command-line tool.
 #include "base/command_line.h"
 #include "ctl/commands.h"
 
@@ -21,39 +21,39 @@
 ABSL_FLAG(std::string, from, "", "report: first hour or day, UTC");
 ABSL_FLAG(std::string, to, "", "report: hour or day after the last, UTC");
 ABSL_FLAG(std::string, by, "workspace", "report: workspace, service or model");
-ABSL_FLAG(int, limit, 20, "history: rows");
+ABSL_FLAG(int, limit, 20, "history: number of versions");
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(parsleyctl: apply configuration files and see what is in force.
+static constexpr const char *helpText = R"(parsleyctl: apply configuration files and inspect the running system.
 
 Usage: parsleyctl [OPTIONS] COMMAND [FILE]
 
 Commands:
-  check FILE    check a configuration file, without any entry
-  diff FILE     what applying the file would change
-  apply FILE    check, show the changes, and apply the whole file
-  show          the configuration in force
-  history       accepted versions, newest first
-  status        entries, targets, coverage, versions
-  wait          wait until a version is in force everywhere; names the stragglers
-  report        the served work: requests, worth, tokens, accelerator time, cost
-  dump          the state dump of the entry
-  version       version of this program
+  check FILE    check a configuration file without contacting an entry
+  diff FILE     show what applying the file would change
+  apply FILE    check the file, show the changes and apply it as a whole
+  show          show the configuration in force
+  history       list accepted versions, newest first
+  status        show entries, targets, coverage and versions
+  wait          wait until a version is in force everywhere; lists the processes without it
+  report        report usage: requests, worth, tokens, accelerator time and cost
+  dump          print the state dump of the entry
+  version       print the version of this program
 
 Options:
   --entry=HOST:PORT   operator port of an entry (default $PARSLEY_ENTRY, or 127.0.0.1:8081)
   --key_file=FILE     file with the operators' credential (default $PARSLEY_OPERATOR_KEY)
-  --format=text|json  how to print; report also csv
-  --dry_run           apply: check at the entry, change nothing
+  --format=text|json  output format; for report also csv
+  --dry_run           apply: let the entry check the file, change nothing
   --wait              apply: wait until in force everywhere
   --at_version=N      apply: replace exactly this version; wait: wait for this one
   --timeout=SECONDS   wait: longest wait (default 60)
   --from, --to        report: hours or days, UTC, as 2026-12-03T14 or 2026-12-03 (default the last 24 hours)
   --by=WHAT           report: workspace, service or model
-  --limit=N           history: rows (default 20)
+  --limit=N           history: number of versions (default 20)
 
-Exit: 0 done, 1 refused, 2 wrong usage, 3 unreachable, 4 the outcome is not known.
+Exit: 0 done, 1 refused, 2 wrong usage, 3 unreachable, 4 outcome unknown.
 
 Examples:
   parsleyctl check studio.ini
@@ -68,7 +68,8 @@
     return value ? value : fallback;
 }
 
-/// Fills in where to ask and as whom. Returns false, after saying why, if an option is wrong.
+/// Sets the address and credential of the entry from the flags and the environment. Prints the reason and returns false if a
+/// flag is invalid.
 static bool readEndpoint(CtlOptions &options)
 {
     const std::string entry = absl::GetFlag(FLAGS_entry).empty() ? environmentValue("PARSLEY_ENTRY", "127.0.0.1:8081") : absl::GetFlag(FLAGS_entry);
@@ -85,7 +86,7 @@
     if (!absl::GetFlag(FLAGS_key_file).empty()) {
         std::ifstream file(absl::GetFlag(FLAGS_key_file));
         if (!std::getline(file, options.endpoint.key)) {
-            std::cerr << "--key_file: cannot be read\n";
+            std::cerr << "--key_file: the file cannot be read or is empty\n";
             return false;
         }
     }
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -43,7 +43,7 @@
     TokenBucket writeBudget;
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< callbacks of calls that outlive this object do nothing
+    std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< lets callbacks detect that this object was destroyed
 
     using Done = std::function<void(StoreStatus, const std::string &)>;
     void call(Access access, HttpClientRequest request, Done done);
@@ -104,7 +104,7 @@
 
 Store::~Store() = default;
 
-/// Parses an answer; malformed JSON counts as a store that does not work.
+/// Parses the body of a response. Returns false if it is not a JSON object; callers then report Unavailable.
 static bool parseResponse(const std::string &text, json &response)
 {
     response = json::parse(text, nullptr, false);
@@ -116,7 +116,7 @@
     return {item.value("key", ""), item.value("version", std::uint64_t{0}), item.value("value", "")};
 }
 
-/// Percent-encodes what has a meaning in a URL.
+/// Percent-encodes all characters except the unreserved ones of RFC 3986.
 static std::string percentEncode(std::string_view text)
 {
     std::string escaped;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,7 +1,7 @@
-// Client of the platform: table service, object store and membership list.
+// Client of the platform's table service, object store and membership list.
 //
-// Nothing on the hot path waits for it. Each call ends in one of a few statuses; Unknown means that a write may or
-// may not have taken effect (its answer was lost), and whoever wrote must find out by reading.
+// The hot path never waits for it. Each call ends with a StoreStatus; Unknown means that a write may or may not have taken
+// effect because its response was lost, and the caller must read to find out.
 #pragma once
 
 #include "base/address.h"
@@ -17,41 +17,41 @@
 namespace Parsleytrail
 {
 
-/// How a call to the platform ended.
+/// Result of a call to the platform.
 enum class StoreStatus {
     Ok,
     NotFound,    ///< no such row or object
-    Conflict,    ///< the condition of a write did not hold
-    Unavailable, ///< not done: the store refused it, or it was never sent
+    Conflict,    ///< a condition of a write was not met
+    Unavailable, ///< not executed: the store rejected it, or it was never sent; also a read that failed
     Unknown      ///< a write that may have taken effect
 };
 const char *toString(StoreStatus status);
 
 /// One write of a transaction.
 struct RowWrite {
-    std::string table;           ///< table
-    std::string key;             ///< row
+    std::string table;           ///< table name
+    std::string key;             ///< key of the row
     std::string value;           ///< new value
-    std::uint64_t ifVersion = 0; ///< version that must be there; 0: the row must be absent
+    std::uint64_t ifVersion = 0; ///< required current version; 0: the row must be absent
 };
 
-/// An instance on the platform's list. The list lags.
+/// An instance in the platform's membership list. The list lags behind the actual state.
 struct RegisteredInstance {
-    std::string id;         ///< id of the instance
+    std::string id;         ///< id of the entry or target
     std::string role;       ///< entry or sidecar
-    Address address;        ///< peer port
-    bool isLeaving = false; ///< marked as leaving
+    Address address;        ///< host and peer port
+    bool isLeaving = false; ///< marked as about to stop
 };
 
-/// Rates and times of a process's use of the store.
+/// Rate limits and timeout of a process's calls to the store.
 struct StoreLimits {
-    milliseconds timeout{1000}; ///< longest wait for an answer
-    double readsPerSecond = 5;  ///< a process's share: 2,000 reads a second over 370 nodes
-    double writesPerSecond = 1; ///< a process's share: several hundred writes a second over 370 nodes
-    double burst = 20;          ///< reads or writes saved up while idle
+    milliseconds timeout{1000}; ///< longest wait for a response
+    double readsPerSecond = 5;  ///< share of one process: 2,000 reads a second over 370 nodes
+    double writesPerSecond = 1; ///< share of one process: several hundred writes a second over 370 nodes
+    double burst = 20;          ///< reads, and writes, that may accumulate while idle
 };
 
-/// One process's view of the platform, behind a circuit and a budget.
+/// Client of the platform for one process, with a circuit breaker and rate limits.
 class Store
 {
 public:
@@ -59,19 +59,19 @@
     ~Store();
 
     void readRow(const std::string &table, const std::string &key, std::function<void(StoreStatus, const Row &)> done);
-    /// Rows with keys in [from, to), at most `limit`.
+    /// Reads at most `limit` rows with keys in [from, to).
     void scanRows(const std::string &table, const std::string &from, const std::string &to, int limit,
                   std::function<void(StoreStatus, const std::vector<Row> &)> done);
-    /// Writes all or none.
+    /// Applies all writes atomically.
     void transact(const std::vector<RowWrite> &writes, std::function<void(StoreStatus)> done);
-    /// Puts an object if there is none of that name; Ok also if there is.
+    /// Stores an object unless one of that name exists; the status is Ok in both cases.
     void putObject(const std::string &name, const std::string &bytes, std::function<void(StoreStatus)> done);
     void readObject(const std::string &name, std::function<void(StoreStatus, const std::string &)> done);
     void readMembership(std::function<void(StoreStatus, const std::vector<RegisteredInstance> &)> done);
 
-    /// Whether the circuit is open: calls fail at once with Unavailable.
+    /// Whether the circuit is open: calls fail immediately with Unavailable, except for a probe after each pause.
     bool isDown() const;
-    /// Time until the next probe while the circuit is open; for Retry-After.
+    /// Time until the next probe, for Retry-After; 0 while the circuit is closed.
     milliseconds retryAfter() const;
     std::uint64_t reads() const;
     std::uint64_t writes() const;
--- a/tests/output_sink_test.cpp
+++ b/tests/output_sink_test.cpp
@@ -1,4 +1,5 @@
-// The log's output: a reader that is slow, or gone, must not stop the process.
+// A slow or closed reader of the log must not stop the process: a write to a full pipe would block it, and a write to a closed
+// pipe fails.
 #include "base/output_sink.h"
 
 #include <boost/test/unit_test.hpp>
@@ -32,7 +33,7 @@
         }
         ends[0] = -1;
     }
-    /// All that is in the pipe now.
+    /// Reads everything that is in the pipe, without blocking.
     std::string drain() const
     {
         fcntl(ends[0], F_SETFL, O_NONBLOCK);
@@ -61,8 +62,8 @@
 
 BOOST_AUTO_TEST_CASE(blockedReaderDropsLinesWithoutBlockingTheWriter)
 {
-    // Nobody reads. The pipe fills, then the buffer; from then on lines are dropped and counted. When the reader is back
-    // it gets whole lines, the oldest first.
+    // The pipe fills up, then the buffer; from then on lines are dropped and counted. A reader that resumes gets complete
+    // lines, the oldest first.
     const Pipe pipe;
     OutputSink sink(pipe.ends[1]);
     const std::string line = std::string(999, 'x') + "\n";
