--- a/src/base/output_sink.cpp
+++ b/src/base/output_sink.cpp
@@ -19,7 +19,7 @@
 void OutputSink::write(std::string_view line)
 {
     if (m_buffer.size() + line.size() > maxLogBufferBytes) {
-        ++m_dropped;
+        ++m_droppedLines;
     } else {
         m_buffer.append(line);
     }
@@ -33,14 +33,14 @@
         if (poll(&ready, 1, 0) <= 0 || !(ready.revents & (POLLOUT | POLLERR | POLLHUP))) {
             return;
         }
-        // A pipe that is ready takes this much without blocking; more could.
+        // A pipe that polls as writable accepts PIPE_BUF bytes without blocking; a larger write could block.
         const ssize_t size = ::write(m_descriptor, m_buffer.data(), std::min<std::size_t>(m_buffer.size(), PIPE_BUF));
         if (size < 0 && (errno == EINTR || errno == EAGAIN)) {
             return;
         }
         if (size <= 0) {
-            // Nobody reads any more: the lines are lost, the process goes on.
-            m_dropped += std::count(m_buffer.begin(), m_buffer.end(), '\n');
+            // The reader has closed its end: drop the lines and continue.
+            m_droppedLines += std::count(m_buffer.begin(), m_buffer.end(), '\n');
             m_buffer.clear();
             return;
         }
@@ -48,12 +48,12 @@
     }
 }
 
-std::uint64_t OutputSink::takeDropped()
+std::uint64_t OutputSink::consumeDroppedLines()
 {
-    return std::exchange(m_dropped, 0);
+    return std::exchange(m_droppedLines, 0);
 }
 
-std::size_t OutputSink::waiting() const
+std::size_t OutputSink::pendingBytes() const
 {
     return m_buffer.size();
 }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// parsleyctl: what operators run.
+// parsleyctl: the operators' command-line tool.
 #include "base/command_line.h"
 #include "ctl/commands.h"
 
@@ -21,39 +21,39 @@
 ABSL_FLAG(std::string, from, "", "report: first hour or day, UTC");
 ABSL_FLAG(std::string, to, "", "report: hour or day after the last, UTC");
 ABSL_FLAG(std::string, by, "workspace", "report: workspace, service or model");
-ABSL_FLAG(int, limit, 20, "history: rows");
+ABSL_FLAG(int, limit, 20, "history: number of versions");
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(parsleyctl: apply configuration files and see what is in force.
+static constexpr const char *helpText = R"(parsleyctl: apply configuration files and inspect the running system.
 
 Usage: parsleyctl [OPTIONS] COMMAND [FILE]
 
 Commands:
-  check FILE    check a configuration file, without any entry
-  diff FILE     what applying the file would change
-  apply FILE    check, show the changes, and apply the whole file
-  show          the configuration in force
-  history       accepted versions, newest first
-  status        entries, targets, coverage, versions
-  wait          wait until a version is in force everywhere; names the stragglers
-  report        the served work: requests, worth, tokens, accelerator time, cost
-  dump          the state dump of the entry
-  version       version of this program
+  check FILE    check a configuration file without contacting an entry
+  diff FILE     show what applying the file would change
+  apply FILE    check the file, show the changes and apply it as a whole
+  show          show the configuration in force
+  history       list accepted versions, newest first
+  status        show entries, targets, coverage and versions
+  wait          wait until a version is in force everywhere; lists the processes without it
+  report        report usage: requests, worth, tokens, accelerator time and cost
+  dump          print the state dump of the entry
+  version       print the version of this program
 
 Options:
   --entry=HOST:PORT   operator port of an entry (default $PARSLEY_ENTRY, or 127.0.0.1:8081)
   --key_file=FILE     file with the operators' credential (default $PARSLEY_OPERATOR_KEY)
-  --format=text|json  how to print; report also csv
-  --dry_run           apply: check at the entry, change nothing
+  --format=text|json  output format; for report also csv
+  --dry_run           apply: let the entry check the file, change nothing
   --wait              apply: wait until in force everywhere
   --at_version=N      apply: replace exactly this version; wait: wait for this one
   --timeout=SECONDS   wait: longest wait (default 60)
   --from, --to        report: hours or days, UTC, as 2026-12-03T14 or 2026-12-03 (default the last 24 hours)
   --by=WHAT           report: workspace, service or model
-  --limit=N           history: rows (default 20)
+  --limit=N           history: number of versions (default 20)
 
-Exit: 0 done, 1 refused, 2 wrong usage, 3 unreachable, 4 the outcome is not known.
+Exit: 0 done, 1 refused, 2 wrong usage, 3 unreachable, 4 outcome unknown.
 
 Examples:
   parsleyctl check studio.ini
@@ -62,51 +62,52 @@
   parsleyctl report --from=2026-12-01 --to=2026-12-02 --by=workspace --format=csv
 )";
 
-static std::string environment(const char *name, const char *fallback)
+static std::string environmentValue(const char *name, const char *fallback)
 {
     const char *value = std::getenv(name);
     return value ? value : fallback;
 }
 
-/// Fills in where to ask and as whom. Returns false, after saying why, if an option is wrong.
-static bool readTarget(CtlOptions &options)
+/// Sets the address and credential of the entry from the flags and the environment. Prints the reason and returns false if a
+/// flag is invalid.
+static bool readEndpoint(CtlOptions &options)
 {
-    const std::string entry = absl::GetFlag(FLAGS_entry).empty() ? environment("PARSLEY_ENTRY", "127.0.0.1:8081") : absl::GetFlag(FLAGS_entry);
+    const std::string entry = absl::GetFlag(FLAGS_entry).empty() ? environmentValue("PARSLEY_ENTRY", "127.0.0.1:8081") : absl::GetFlag(FLAGS_entry);
     Error error;
     const auto parse = [&]() -> Result<void> {
-        BOOST_LEAF_ASSIGN(options.target.address, parseAddress(entry));
+        BOOST_LEAF_ASSIGN(options.endpoint.address, parseAddress(entry));
         return {};
     };
     if (!runCatching(parse, error)) {
         std::cerr << "--entry: " << error.toString() << '\n';
         return false;
     }
-    options.target.key = environment("PARSLEY_OPERATOR_KEY", "");
+    options.endpoint.key = environmentValue("PARSLEY_OPERATOR_KEY", "");
     if (!absl::GetFlag(FLAGS_key_file).empty()) {
         std::ifstream file(absl::GetFlag(FLAGS_key_file));
-        if (!std::getline(file, options.target.key)) {
-            std::cerr << "--key_file: cannot be read\n";
+        if (!std::getline(file, options.endpoint.key)) {
+            std::cerr << "--key_file: the file cannot be read or is empty\n";
             return false;
         }
     }
     return true;
 }
 
-static int runCommand(const CtlOptions &options, const std::vector<std::string> &words)
+static int runCommand(const CtlOptions &options, const std::vector<std::string> &arguments)
 {
-    const std::map<std::string, std::function<int(const CtlOptions &, const std::string &)>> withFile = {
+    const std::map<std::string, std::function<int(const CtlOptions &, const std::string &)>> commandsWithFile = {
         {"check", runCheck}, {"apply", runApply}, {"diff", runDiff}};
-    const std::map<std::string, std::function<int(const CtlOptions &)>> alone = {{"show", runShow},      {"history", runHistory}, {"status", runStatus},
-                                                                                 {"wait", runWait},      {"dump", runDump},       {"report", runReport},
-                                                                                 {"version", runVersion}};
-    const bool hasCommand = !words.empty();
-    if (hasCommand && words.size() == 2 && withFile.count(words[0])) {
-        return withFile.at(words[0])(options, words[1]);
+    const std::map<std::string, std::function<int(const CtlOptions &)>> commandsWithoutFile = {
+        {"show", runShow}, {"history", runHistory}, {"status", runStatus},  {"wait", runWait},
+        {"dump", runDump}, {"report", runReport},   {"version", runVersion}};
+    const bool hasCommand = !arguments.empty();
+    if (hasCommand && arguments.size() == 2 && commandsWithFile.count(arguments[0])) {
+        return commandsWithFile.at(arguments[0])(options, arguments[1]);
     }
-    if (hasCommand && words.size() == 1 && alone.count(words[0])) {
-        return alone.at(words[0])(options);
+    if (hasCommand && arguments.size() == 1 && commandsWithoutFile.count(arguments[0])) {
+        return commandsWithoutFile.at(arguments[0])(options);
     }
-    std::cerr << "parsleyctl: expected a command" << (hasCommand ? ", found '" + words[0] + "' or the wrong number of files" : "")
+    std::cerr << "parsleyctl: expected a command" << (hasCommand ? ", found '" + arguments[0] + "' or the wrong number of files" : "")
               << "; see parsleyctl --help\n";
     return ExitUsage;
 }
@@ -117,9 +118,9 @@
         std::cout << helpText;
         return ExitDone;
     }
-    const std::vector<char *> rest = absl::ParseCommandLine(argc, argv);
+    const std::vector<char *> positional = absl::ParseCommandLine(argc, argv);
     const std::string format = absl::GetFlag(FLAGS_format);
-    const bool isReport = rest.size() == 2 && std::string(rest[1]) == "report";
+    const bool isReport = positional.size() == 2 && std::string(positional[1]) == "report";
     if (format != "text" && format != "json" && !(format == "csv" && isReport)) {
         std::cerr << "--format: expected text or json, or csv for report\n";
         return ExitUsage;
@@ -131,12 +132,12 @@
     options.to = absl::GetFlag(FLAGS_to);
     options.by = absl::GetFlag(FLAGS_by);
     options.isDryRun = absl::GetFlag(FLAGS_dry_run);
-    options.waits = absl::GetFlag(FLAGS_wait);
+    options.shouldWait = absl::GetFlag(FLAGS_wait);
     options.version = absl::GetFlag(FLAGS_at_version);
-    options.waitFor = std::chrono::seconds(absl::GetFlag(FLAGS_timeout));
+    options.waitTimeout = std::chrono::seconds(absl::GetFlag(FLAGS_timeout));
     options.limit = absl::GetFlag(FLAGS_limit);
-    if (!readTarget(options)) {
+    if (!readEndpoint(options)) {
         return ExitUsage;
     }
-    return runCommand(options, {rest.begin() + 1, rest.end()});
+    return runCommand(options, {positional.begin() + 1, positional.end()});
 }
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -24,7 +24,7 @@
 
     std::vector<Address> selectPeers() const;
     EntryAnnouncement describeSelf() const;
-    void handleMembership(const std::vector<ListedInstance> &instances);
+    void handleMembership(const std::vector<RegisteredInstance> &instances);
 };
 
 /// Appends the `count` candidates that rendezvous hashing ranks first for this entry.
@@ -65,11 +65,11 @@
     return result;
 }
 
-void Peers::Private::handleMembership(const std::vector<ListedInstance> &instances)
+void Peers::Private::handleMembership(const std::vector<RegisteredInstance> &instances)
 {
     std::vector<TargetId> leavingTargets;
     registeredEntries.clear();
-    for (const ListedInstance &instance : instances) {
+    for (const RegisteredInstance &instance : instances) {
         if (instance.role == "entry" && !instance.isLeaving) {
             registeredEntries.push_back(instance.address);
         }
@@ -164,7 +164,7 @@
         return;
     }
     d->nextPoll = now + membershipPollInterval;
-    d->store.readMembership([this, weak = std::weak_ptr(d->alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
+    d->store.readMembership([this, weak = std::weak_ptr(d->alive)](StoreStatus status, const std::vector<RegisteredInstance> &instances) {
         if (!weak.expired() && status == StoreStatus::Ok) {
             d->handleMembership(instances);
         }
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -174,7 +174,7 @@
     call.address = link->peerName();
     call.excluded.insert(call.target);
     targets.recordOpened(call.target);
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("call-sent",
                                {{"request", request.value}, {"target", call.target.value}, {"nonIdempotent", std::uint64_t{call.isNonIdempotent ? 1u : 0u}}});
     }
@@ -215,7 +215,7 @@
     problem.outcome == Outcome::NotRun ? usageRecorder.countRefused(call.owner) : usageRecorder.countUnknown(call.owner, 0);
     logEvent(Event::CallFailed,
              {{"request", request.value}, {"service", call.service.value}, {"outcome", outcomeText(problem.outcome)}, {"reason", problem.detail}});
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.publicId}, {"outcome", outcomeText(problem.outcome)}});
     }
     const ExchangePtr exchange = call.exchange;
@@ -273,7 +273,7 @@
     targets.recordSuccess(call.target);
     releaseTarget(call);
     finishKey(call, call.isTooLongToStore ? KeyOutcome::Unknown : KeyOutcome::Answered);
-    if (context.history.isOn()) {
+    if (context.history.isEnabled()) {
         context.history.record("outcome", {{"request", request.value}, {"shown", call.caller.publicId}, {"outcome", "answered"}});
     }
     const ExchangePtr exchange = call.exchange;
--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -131,11 +131,11 @@
         return;
     }
     nextPollAt = now + (known.empty() ? membershipPollIntervalWithoutEntries : membershipPollInterval);
-    store.readMembership([this, weak = std::weak_ptr(alive)](StoreStatus status, const std::vector<ListedInstance> &instances) {
+    store.readMembership([this, weak = std::weak_ptr(alive)](StoreStatus status, const std::vector<RegisteredInstance> &instances) {
         if (weak.expired() || status != StoreStatus::Ok) {
             return;
         }
-        for (const ListedInstance &instance : instances) {
+        for (const RegisteredInstance &instance : instances) {
             if (instance.role == "entry" && !instance.isLeaving) {
                 known[instance.address].lastReceivedAt = context.clock.now();
             }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -186,7 +186,7 @@
     case UpdateResult::Applied:
         configuration = std::move(updated);
         logEvent(Event::ConfigurationInForce, {{"version", std::to_string(configuration.version.value)}, {"from", link->peer().process}});
-        if (history.isOn()) {
+        if (history.isEnabled()) {
             history.record("configuration", {{"version", configuration.version.value}});
         }
         announcer->announce();
--- a/tests/output_sink_test.cpp
+++ b/tests/output_sink_test.cpp
@@ -1,4 +1,5 @@
-// The log's output: a reader that is slow, or gone, must not stop the process.
+// A slow or closed reader of the log must not stop the process: a write to a full pipe would block it, and a write to a closed
+// pipe fails.
 #include "base/output_sink.h"
 
 #include <boost/test/unit_test.hpp>
@@ -32,7 +33,7 @@
         }
         ends[0] = -1;
     }
-    /// All that is in the pipe now.
+    /// Reads everything that is in the pipe, without blocking.
     std::string drain() const
     {
         fcntl(ends[0], F_SETFL, O_NONBLOCK);
@@ -56,24 +57,24 @@
     sink.write("one\n");
     sink.write("two\n");
     BOOST_TEST(pipe.drain() == "one\ntwo\n");
-    BOOST_TEST(sink.waiting() == 0U);
+    BOOST_TEST(sink.pendingBytes() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatDoesNotReadCostsLinesAndNoTime)
+BOOST_AUTO_TEST_CASE(blockedReaderDropsLinesWithoutBlockingTheWriter)
 {
-    // Nobody reads. The pipe fills, then the buffer; from then on lines are dropped and counted. When the reader is back
-    // it gets whole lines, the oldest first.
+    // The pipe fills up, then the buffer; from then on lines are dropped and counted. A reader that resumes gets complete
+    // lines, the oldest first.
     const Pipe pipe;
     OutputSink sink(pipe.ends[1]);
     const std::string line = std::string(999, 'x') + "\n";
     for (int i = 0; i < 2000; ++i) {
         sink.write(line);
     }
-    BOOST_TEST(sink.waiting() <= maxLogBufferBytes);
-    const std::uint64_t dropped = sink.takeDropped();
+    BOOST_TEST(sink.pendingBytes() <= maxLogBufferBytes);
+    const std::uint64_t dropped = sink.consumeDroppedLines();
     BOOST_TEST(dropped > 1000U);
     std::string read;
-    while (sink.waiting() > 0) {
+    while (sink.pendingBytes() > 0) {
         read += pipe.drain();
         sink.flush();
     }
@@ -81,17 +82,17 @@
     BOOST_TEST(read.size() == (2000 - dropped) * line.size());
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatIsGoneIsSurvived)
+BOOST_AUTO_TEST_CASE(closedReaderDropsLinesWithoutEndingTheProcess)
 {
     std::signal(SIGPIPE, SIG_IGN);
     Pipe pipe;
     pipe.closeReader();
     OutputSink sink(pipe.ends[1]);
     sink.write("lost\n");
-    BOOST_TEST(sink.waiting() == 0U);
-    BOOST_TEST(sink.takeDropped() == 1U);
+    BOOST_TEST(sink.pendingBytes() == 0U);
+    BOOST_TEST(sink.consumeDroppedLines() == 1U);
     sink.write("lost too\n");
-    BOOST_TEST(sink.takeDropped() == 1U);
+    BOOST_TEST(sink.consumeDroppedLines() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
