--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -54,7 +54,7 @@
 }
 
 /// Order of start within a workspace.
-static bool hasPriority(const WaitingRequest &a, const WaitingRequest &b)
+static bool startsBefore(const WaitingRequest &a, const WaitingRequest &b)
 {
     const double worthA = a.worth / std::max(a.cost, 1.0);
     const double worthB = b.worth / std::max(b.cost, 1.0);
@@ -69,7 +69,7 @@
             continue;
         }
         const auto [known, isNew] = best.emplace(waiting[i].workspace, i);
-        if (!isNew && hasPriority(waiting[i], waiting[known->second])) {
+        if (!isNew && startsBefore(waiting[i], waiting[known->second])) {
             known->second = i;
         }
     }
--- a/src/policy/coverage_repair.cpp
+++ b/src/policy/coverage_repair.cpp
@@ -6,7 +6,7 @@
 {
 
 /// Cost of an infeasible choice.
-constexpr double unreachableCost = 1e18;
+constexpr double infeasibleCost = 1e18;
 
 /// Assigns the start of an uncovered range to an idle engine; returns the number of layers assigned. Prefers the smallest
 /// engine that can hold the entire range, else the largest one.
@@ -88,7 +88,7 @@
 struct Partition {
     EngineGroup chain;              ///< engines in the order of their ranges
     std::vector<LayerRange> stages; ///< range of each engine of the chain; empty: unchanged
-    double cost = unreachableCost;  ///< sum of stageCost(), plus what a moved engine releases
+    double cost = infeasibleCost;   ///< sum of stageCost(), plus what a moved engine releases
 };
 
 /// The cheapest way to cover all layers with the engines in the given order: each starts at the layer where the previous one
@@ -96,14 +96,14 @@
 static Partition partitionInOrder(const EngineModel &model, EngineGroup chain, const std::vector<double> &releaseSums, const PlacementTuning &tuning)
 {
     const std::size_t width = model.layers + 1;
-    std::vector<double> cost((chain.size() + 1) * width, unreachableCost);
+    std::vector<double> cost((chain.size() + 1) * width, infeasibleCost);
     std::vector<int> cameFrom((chain.size() + 1) * width, 0);
     cost[0] = 0;
     for (std::size_t i = 0; i < chain.size(); ++i) {
         const int layerLimit = chain[i].hasPendingOrder ? model.layers : layersThatFit(model, chain[i], tuning.emergencyShare);
         for (int from = 0; from <= model.layers; ++from) {
             const double base = cost[i * width + from];
-            for (int to = from; base < unreachableCost && to <= std::min(model.layers, from + layerLimit); ++to) {
+            for (int to = from; base < infeasibleCost && to <= std::min(model.layers, from + layerLimit); ++to) {
                 // An engine with a pending order can only serve layers that it holds, or none.
                 if (chain[i].hasPendingOrder && to > from && !chain[i].layers.contains({from, to})) {
                     continue;
@@ -120,7 +120,7 @@
     partition.cost = cost[chain.size() * width + model.layers];
     partition.stages.resize(chain.size());
     int to = model.layers;
-    for (std::size_t i = chain.size(); i > 0 && partition.cost < unreachableCost; --i) {
+    for (std::size_t i = chain.size(); i > 0 && partition.cost < infeasibleCost; --i) {
         const int from = cameFrom[i * width + to];
         partition.stages[i - 1] = {from, to};
         to = from;
@@ -168,7 +168,7 @@
 static void addOrders(const EngineModel &model, EngineGroup &group, const Partition &partition, const PlacementTuning &tuning, std::vector<int> &copies,
                       std::vector<PlacementOrder> &orders)
 {
-    if (partition.cost >= unreachableCost) {
+    if (partition.cost >= infeasibleCost) {
         return;
     }
     const std::vector<double> releaseSums = releaseCostPrefixSums(copies, tuning);
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -99,13 +99,13 @@
 
 void recordProbeResponse(Target &target)
 {
-    target.probeTimeoutsInRow = 0;
+    target.unansweredProbesInRow = 0;
     target.needsProbe = false;
 }
 
 void recordSuccess(Target &target)
 {
-    target.probeTimeoutsInRow = 0;
+    target.unansweredProbesInRow = 0;
     target.failuresInRow = 0;
     target.refusalsInRow = 0;
     target.needsProbe = false;
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -65,7 +65,7 @@
     bool isRestart = false;           ///< its id or its address was registered before: a restart, not an added instance
     TimePoint avoidUntil{};           ///< after failures or refusals: gets no work before this time
     int failuresInRow = 0;            ///< requests and probes that failed since the last successful request
-    int probeTimeoutsInRow = 0;       ///< probes that timed out since the last one that was answered
+    int unansweredProbesInRow = 0;    ///< probes that timed out since the last one that was answered
     int refusalsInRow = 0;            ///< requests that it refused without running them, since the last successful request
     int peersAvoiding = 0;            ///< other entries that send it no work at present, after failures or refusals, as last reported
     bool needsProbe = false;          ///< gets no work until it has answered a probe, even after avoidUntil
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -330,18 +330,18 @@
 
 /// Excludes the time while the process was paused or its loop was blocked from all timeouts. What others sent meanwhile has
 /// not been read yet; if they timed out, their load would not be counted.
-static void creditStalls(LoadExchange &exchange, TimePoint now)
+static void creditProcessPauses(LoadExchange &exchange, TimePoint now)
 {
-    const milliseconds stall = processPauseBefore(exchange.lastTickAt, now, exchangeInterval);
+    const milliseconds pause = processPauseBefore(exchange.lastTickAt, now, exchangeInterval);
     exchange.lastTickAt = now;
     for (auto &[id, member] : exchange.members) {
-        member.receivedAt = creditProcessPause(member.receivedAt, stall, now);
+        member.receivedAt = creditProcessPause(member.receivedAt, pause, now);
     }
     for (auto &[id, group] : exchange.groups) {
-        group.receivedAt = creditProcessPause(group.receivedAt, stall, now);
+        group.receivedAt = creditProcessPause(group.receivedAt, pause, now);
     }
-    exchange.lastResponseAt = creditProcessPause(exchange.lastResponseAt, stall, now);
-    exchange.digest.receivedAt = exchange.digest.receivedAt == TimePoint() ? TimePoint() : creditProcessPause(exchange.digest.receivedAt, stall, now);
+    exchange.lastResponseAt = creditProcessPause(exchange.lastResponseAt, pause, now);
+    exchange.digest.receivedAt = exchange.digest.receivedAt == TimePoint() ? TimePoint() : creditProcessPause(exchange.digest.receivedAt, pause, now);
 }
 
 template<typename Message>
@@ -398,7 +398,7 @@
 }
 
 /// Joins a better group of the same data centre, or hands the group over to a member with much more processor time.
-static void chooseAggregator(LoadExchange &exchange, TimePoint now)
+static void selectAggregator(LoadExchange &exchange, TimePoint now)
 {
     if (!isAggregator(exchange)) {
         return;
@@ -487,10 +487,10 @@
     ++exchange.ticks;
     exchange.self.capacity = state.isDraining ? 0 : exchange.self.capacity;
     updateOwnReport(exchange, state);
-    creditStalls(exchange, now);
+    creditProcessPauses(exchange, now);
     removeExpired(exchange, now);
     leaveUnresponsiveAggregator(exchange, now);
-    chooseAggregator(exchange, now);
+    selectAggregator(exchange, now);
     const std::size_t stride = 1 + exchange.localTargets.size() / localTargetsPerInterval;
     if (exchange.ticks % stride != 0) {
         return {};
--- a/src/relay/engine_prober.cpp
+++ b/src/relay/engine_prober.cpp
@@ -135,7 +135,7 @@
 {
     avoidTarget(context, id, reason);
     if (Target *target = findTarget(context.fleet, id)) {
-        ++target->probeTimeoutsInRow;
+        ++target->unansweredProbesInRow;
     }
     handlers.onUnresponsive(id);
 }
--- a/src/relay/placement_controller.cpp
+++ b/src/relay/placement_controller.cpp
@@ -159,7 +159,7 @@
 /// requests are no evidence: responses of working engines get lost, and to give their layers to other engines breaks chains.
 static bool isLost(const Target &target)
 {
-    return target.probeTimeoutsInRow >= unansweredProbesUntilLost || (target.probeTimeoutsInRow > 0 && target.peersAvoiding > 0);
+    return target.unansweredProbesInRow >= unansweredProbesUntilLost || (target.unansweredProbesInRow > 0 && target.peersAvoiding > 0);
 }
 
 /// Whether so few engines are lost that the fault is theirs. To an entry that is cut off all engines seem lost; its orders would
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -140,10 +140,10 @@
     Target target;
     recordFailure(target, start);
     recordFailure(target, start);
-    target.probeTimeoutsInRow = 1;
+    target.unansweredProbesInRow = 1;
     target.needsProbe = true;
     recordProbeResponse(target);
-    BOOST_TEST(target.probeTimeoutsInRow == 0);
+    BOOST_TEST(target.unansweredProbesInRow == 0);
     BOOST_TEST(target.failuresInRow == 2);
     BOOST_TEST(isFailing(target, start));
     BOOST_TEST(isUsable(target, start + 2 * initialFailureBackoff));
