--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -53,7 +53,7 @@
     ledger.startedCost[request.workspace] += request.cost;
 }
 
-/// Order of start within a workspace.
+/// Whether `a` starts before `b`, which waits in the same workspace.
 static bool startsBefore(const WaitingRequest &a, const WaitingRequest &b)
 {
     const double worthA = a.worth / std::max(a.cost, 1.0);
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -23,8 +23,8 @@
     double limit = 64;              ///< streams allowed at once
     double minLimit = 4;            ///< lower bound of the limit
     double maxLimit = 100000;       ///< upper bound of the limit
-    double increase = 1;            ///< streams added, with 2% of the limit, after a window without too many misses in which it is in use
-    double decrease = 0.85;         ///< factor after a window with too many misses
+    double increase = 1;            ///< streams added, besides 2% of the limit, after a window in which the limit is in use and latencies meet their targets
+    double decrease = 0.85;         ///< factor on the limit after a window with too many misses
     double allowedMissRatio = 0.05; ///< misses allowed: 95 in 100 latencies must meet their target
     std::uint32_t samples = 0;      ///< latencies recorded in this window
     std::uint32_t misses = 0;       ///< latencies over their target in this window
@@ -37,8 +37,8 @@
 
 /// A request that waits to start.
 struct WaitingRequest {
-    RequestId id;            ///< its id
-    WorkspaceName workspace; ///< of the caller
+    RequestId id;
+    WorkspaceName workspace; ///< workspace of the caller
     double worth = 1;        ///< value of its response, by the settings of the workspace
     double cost = 1;         ///< expected cost, in tokens
     TimePoint arrivedAt{};   ///< when it arrived
@@ -47,7 +47,7 @@
 
 /// Cost of the requests that each workspace has started, with exponential decay. Workspaces with less go first.
 struct FairShareLedger {
-    std::map<WorkspaceName, double> startedCost; ///< in tokens, as of `decayedAt`
+    std::map<WorkspaceName, double> startedCost; ///< started cost in tokens, as of `decayedAt`
     TimePoint decayedAt{};                       ///< time of the last decay; zero: none yet
 };
 void recordStart(FairShareLedger &ledger, const WaitingRequest &request, TimePoint now);
--- a/src/policy/chain.h
+++ b/src/policy/chain.h
@@ -21,7 +21,7 @@
 
 /// Parameters of the selection.
 struct ChainOptions {
-    std::string dataCenter;                       ///< of the entry, which exchanges data with the first and the last stage
+    std::string dataCenter;                       ///< data centre of the entry; the first and the last stage are preferred there, as they exchange data with it
     double crossDataCenterMicros = 500;           ///< cost of a hop to another data centre, in microseconds
     const std::set<TargetId> *excluded = nullptr; ///< targets that failed this stream before; may be null
 };
--- a/src/policy/chain_selection.cpp
+++ b/src/policy/chain_selection.cpp
@@ -8,10 +8,10 @@
 
 /// An engine that may be used in the chain.
 struct Candidate {
-    const Target *target = nullptr;  ///< in the fleet
+    const Target *target = nullptr;  ///< the engine in the fleet
     double stepMsPerLayer = 0;       ///< expected time of one layer of a pass
     double freeKvTokenLayers = 0;    ///< KV cache left of the share that may be planned for, tokens x layers
-    double kvFill = 0;               ///< share of its KV cache in use: 0 empty, 1 full
+    double kvFill = 0;               ///< KV cache in use, relative to the share that may be planned for: 0 empty, 1 full
     double avoidedMs = 0;            ///< cost added because other entries avoid it
     bool isFullAsFirstStage = false; ///< accepts no more requests from entries, but still later stages of chains that began at other engines
     std::size_t dataCenter = 0;      ///< index of its name
--- a/src/policy/chain_selection.h
+++ b/src/policy/chain_selection.h
@@ -19,9 +19,9 @@
 
 /// The layers that one engine applies in a chain.
 struct ChainStage {
-    TargetId id;       ///< engine
-    Address address;   ///< of the engine
-    LayerRange layers; ///< applied by the engine
+    TargetId id;       ///< id of the engine
+    Address address;   ///< address of the engine
+    LayerRange layers; ///< layers that the engine applies
 
     bool operator==(const ChainStage &) const = default;
 };
@@ -33,15 +33,15 @@
 };
 
 /// KV cache that is planned for a request, tokens: its average while the request runs, which is the prompt and half of the
-/// answer. The requests of an engine are at different stages of their answers. Planning for full answers would leave a tenth
-/// of each engine's cache unused while callers are refused for lack of it.
+/// answer. The requests of an engine have each generated a different part of their answers. Planning for full answers would
+/// leave a tenth of each engine's cache unused while callers are refused for lack of it.
 double plannedKvTokens(const StreamDemand &demand);
 
 /// Inputs of the selection.
 struct ChainSelectionContext {
-    const EngineModel *model = nullptr; ///< of the service
+    const EngineModel *model = nullptr; ///< engine model of the service
     ServiceName service;                ///< only its engines are used
-    std::string dataCenter;             ///< of this entry
+    std::string dataCenter;             ///< data centre of this entry
     TimePoint now{};                    ///< engines that are avoided at this time are left out
     std::set<TargetId> excluded;        ///< engines that already failed this request
     std::vector<ChainStage> current;    ///< chain of a running request: its first stage is kept, the others if possible; empty for a new request
@@ -88,9 +88,9 @@
                                     const ChainTuning &tuning = {});
 /// Free capacity of a data centre as this entry sees it.
 struct DataCenterFreeCapacity {
-    std::string dataCenter;  ///< name
+    std::string dataCenter;  ///< name of the data centre
     int engines = 0;         ///< usable engines
-    int freeSlots = 0;       ///< total of the engines that hold layer 0
+    int freeSlots = 0;       ///< free request slots of all engines that hold layer 0
     int streams = 0;         ///< further streams that fit the KV cache of its bottleneck layer
     int bottleneckLayer = 0; ///< layer with the least free KV cache; the first of several
 };
--- a/src/policy/configuration.h
+++ b/src/policy/configuration.h
@@ -62,7 +62,7 @@
         ConfigurationVersion version;             ///< version that the step led to
         std::vector<std::string> changedSections; ///< names of sections added, changed or removed
     };
-    std::vector<Change> changes; ///< oldest first, without gaps; of the first one only the version counts
+    std::vector<Change> changes; ///< oldest first, without gaps; the first one only marks the version at which the log begins
 };
 constexpr std::size_t maxLoggedChanges = 128;
 
@@ -75,7 +75,7 @@
 enum class UpdateResult {
     Applied,      ///< the result is the new configuration
     NotNewer,     ///< the configuration in force is as new or newer
-    BaseMismatch, ///< based on another version than the one in force: request a full update or one based on that
+    BaseMismatch, ///< based on another version than the one in force: request one based on the version in force, or a full update
     Damaged       ///< the result does not have the digest that the sender gave
 };
 /// Applies an update to the configuration in force. `result` is valid only for Applied.
--- a/src/policy/cross_data_center_budget.h
+++ b/src/policy/cross_data_center_budget.h
@@ -4,7 +4,7 @@
 // of prompt and answer then pass over a link that all data centres share. Above the link's capacity, all streams on it delay
 // each other, and the KV cache that they occupy meanwhile fills the engines on both sides: a full fleet becomes a stalled one.
 //
-//     RateBudget budget = makeCrossDataCenterBudget(model, entries);
+//     TokenBucket budget = makeCrossDataCenterBudget(model, entries);
 //     if (hasCrossDataCenterBudget(budget, now)) ... selectChain(), then
 //         consumeCrossDataCenterBudget(budget, crossDataCenterBytes(...));
 //
--- a/src/policy/fallback_leader.h
+++ b/src/policy/fallback_leader.h
@@ -16,7 +16,7 @@
 
 /// State of another entry, as last reported.
 struct FallbackLeaderPeer {
-    std::string id;           ///< of the entry
+    std::string id;           ///< id of the entry
     bool isStoreLost = false; ///< the entry can't reach the store
     bool isDraining = false;  ///< the entry is shutting down
     bool isOrdering = false;  ///< the entry gives placement orders, with or without the lease
@@ -26,7 +26,7 @@
 struct FallbackLeaderView {
     std::string self;                        ///< id of this entry
     bool isStoreLost = false;                ///< this entry can't reach the store
-    milliseconds storeLostFor{0};            ///< time since the store was last reachable
+    milliseconds storeLostFor{0};            ///< time since this entry lost the store
     bool wasLastLeaseHolder = false;         ///< this entry held the lease when it last reached the store
     bool isOrdering = false;                 ///< this entry has given orders without the lease so far
     std::vector<FallbackLeaderPeer> peers{}; ///< reachable entries
--- a/src/policy/fleet.h
+++ b/src/policy/fleet.h
@@ -48,12 +48,12 @@
     TargetId id;                   ///< changes with most restarts
     ServiceName service;           ///< service that it runs
     Address address;               ///< address that accepts requests
-    std::string dataCenter;        ///< location
+    std::string dataCenter;        ///< data centre of the target
     bool isDraining = false;       ///< shutting down: accepts no new work
     int slots = 0;                 ///< concurrent requests
     std::string accelerator;       ///< kind of accelerator; empty for services without an engine
     LayerRange layers;             ///< layers held; empty: none
-    std::uint64_t startedAtMs = 0; ///< start time, Unix milliseconds; tells a restart from an older entry
+    std::uint64_t startedAtMs = 0; ///< start time, Unix milliseconds; a later start has a higher value
 
     bool operator==(const RegisteredTarget &) const = default;
 };
@@ -65,7 +65,7 @@
     bool isRestart = false;           ///< its id or its address was registered before: a restart, not an added instance
     TimePoint avoidUntil{};           ///< after failures or refusals: gets no work before this time
     int failuresInRow = 0;            ///< requests and probes that failed since the last successful request
-    int unansweredProbesInRow = 0;    ///< probes that timed out since the last one that was answered
+    int unansweredProbesInRow = 0;    ///< probes without a valid response, and reports that requests wait for it, since its last valid response
     int refusalsInRow = 0;            ///< requests that it refused without running them, since the last successful request
     int peersAvoiding = 0;            ///< other entries that send it no work at present, after failures or refusals, as last reported
     bool needsProbe = false;          ///< gets no work until it has answered a probe, even after avoidUntil
@@ -74,7 +74,7 @@
     double slowdownFactor = 1;        ///< duration of a pass relative to the normal one, as last reported
     bool isExecutingOrder = false;    ///< an order is in progress, as last reported
     std::uint64_t ordersAccepted = 0; ///< orders begun since its start, as last reported
-    int openRequests = 0;             ///< of this process
+    int openRequests = 0;             ///< open requests of this process
     double kvTokenLayers = 0;         ///< KV cache that this process's open requests are expected to need, tokens x layers
     double peersKvTokenLayers = 0;    ///< KV cache that the open requests of other entries need, tokens x layers, as last reported
     int peersOpenRequests = 0;        ///< open requests of the other entries, as last reported
@@ -114,7 +114,7 @@
 constexpr milliseconds maxRefusalBackoff{1600};
 /// Backs off from a target that refused a request. The target is healthy: its layers don't count as lost.
 void recordRefusal(Target &target, TimePoint now);
-/// Whether requests or probes fail. False for a draining target.
+/// Whether it gets no work at present, after failed requests or probes. False for a draining target.
 bool isFailing(const Target &target, TimePoint now);
 /// Whether it gets no work at present, after failures or refusals. Reported to other entries, which then prefer other targets.
 bool isAvoided(const Target &target, TimePoint now);
--- a/src/policy/load_exchange.cpp
+++ b/src/policy/load_exchange.cpp
@@ -361,7 +361,7 @@
     for (const EntryId &id : expiredIds(exchange.members, exchangeTimeout, now)) {
         dropMember(exchange, id);
     }
-    // With many groups, summaries between each two of them are less frequent.
+    // With many groups, each of them sends its summaries to any other one less often.
     const milliseconds groupTimeout = exchangeTimeout + exchangeInterval * (exchange.groups.size() / summariesPerInterval);
     for (const EntryId &id : expiredIds(exchange.groups, groupTimeout, now)) {
         dropGroup(exchange, id);
@@ -440,8 +440,8 @@
     return exchange.lastProbedHost;
 }
 
-/// Hosts to send a summary to in this tick: aggregators of known groups in rotation, contacts, and at times one known host to
-/// probe.
+/// Hosts to send a summary to in this tick: aggregators of known groups in rotation, contacts, and in every sixth tick one seed
+/// or known host to probe.
 static std::set<std::string> summaryReceivers(LoadExchange &exchange, TimePoint now)
 {
     std::vector<Received<GroupSummary> *> groups;
--- a/src/policy/load_exchange.h
+++ b/src/policy/load_exchange.h
@@ -43,11 +43,12 @@
 /// A member or group is removed if nothing was received from it for this long: several datagrams lost in a row.
 constexpr milliseconds exchangeTimeout{1500};
 constexpr std::size_t maxGroupMembers = 24;      ///< bounds the traffic of an aggregator
-constexpr std::size_t maxReportedLoads = 160;    ///< in one message, which keeps datagrams to 2 KB
+constexpr std::size_t maxReportedLoads = 160;    ///< loads in one message, which limits datagrams to 2 KB
 constexpr std::size_t maxGroups = 64;            ///< other groups that an aggregator keeps; also bounds contacts and join candidates
-constexpr std::size_t maxSummaryAggregators = 8; ///< named in a summary, in rotation
-constexpr std::size_t maxDigestAggregators = 2;  ///< named in a digest, in rotation
-/// Summaries sent in an interval, to the groups sent to longest ago. With more groups than this each gets them less often.
+constexpr std::size_t maxSummaryAggregators = 8; ///< other aggregators named in a summary, in rotation
+constexpr std::size_t maxDigestAggregators = 2;  ///< other aggregators named in a digest, in rotation
+/// Summaries sent in an interval, to the groups that were sent one longest ago. With more groups than this, each gets them less
+/// often.
 constexpr std::size_t summariesPerInterval = 8;
 /// Known hosts that are probed in turn after they timed out: how many are kept, and for how long.
 constexpr std::size_t maxKnownHosts = 32;
@@ -90,22 +91,22 @@
 /// State of the exchange in one entry.
 struct LoadExchange {
     EntryRef self;                                            ///< this entry
-    Incarnation incarnation;                                  ///< of this process
+    Incarnation incarnation;                                  ///< incarnation of this process
     std::vector<std::string> seeds;                           ///< hosts from the settings
     TimePoint startedAt{};                                    ///< start of this process
     TimePoint lastTickAt{};                                   ///< time of the last tick
     std::uint64_t ticks = 0;                                  ///< ticks so far
-    std::uint64_t sequence = 0;                               ///< of the last message sent
+    std::uint64_t sequence = 0;                               ///< sequence number of the last message sent
     EntryReport ownReport;                                    ///< report of this entry, without its sequence
     bool isWatching = false;                                  ///< see EntryState
     EntryRef aggregator;                                      ///< receives the reports; no id: this entry is an aggregator
     TimePoint lastResponseAt{};                               ///< when the aggregator last responded, or was selected
     TimePoint aggregatorSince{};                              ///< when this entry became an aggregator
     std::vector<std::uint32_t> localTargets;                  ///< see EntryState
-    Received<GroupDigest> digest;                             ///< last one from an aggregator, or the own view before following one
+    Received<GroupDigest> digest;                             ///< last one received; before the first, the view that this entry had as an aggregator
     LoadTable digestLoads;                                    ///< loads of all others, from digests
-    std::map<EntryId, Received<EntryReport>> members;         ///< of the own group, if this entry is its aggregator
-    std::map<EntryId, Received<GroupSummary>> groups;         ///< other groups
+    std::map<EntryId, Received<EntryReport>> members;         ///< reports of the own group's members, if this entry is its aggregator
+    std::map<EntryId, Received<GroupSummary>> groups;         ///< summaries of other groups, by their aggregator
     LoadTable loads;                                          ///< sums over members and groups
     std::map<std::string, Received<EntryRef>> joinCandidates; ///< by data centre: best aggregator among entries that look for a group
     std::map<std::string, TimePoint> contacts;                ///< hosts of possible aggregators, and when each was added
--- a/src/policy/load_table.h
+++ b/src/policy/load_table.h
@@ -27,7 +27,7 @@
 /// Load at one target, summed over any number of entries.
 struct LoadSum {
     int openRequests = 0;     ///< open requests
-    int avoiding = 0;         ///< number of entries that send it no work after failures
+    int avoiding = 0;         ///< number of entries that send it no work, after failures or refusals
     double kvTokenLayers = 0; ///< KV cache that the requests are expected to need, in tokens x layers
 };
 using LoadTable = std::unordered_map<std::uint32_t, LoadSum>;
@@ -35,8 +35,8 @@
 void addLoads(LoadTable &table, const std::vector<EngineLoad> &loads);
 /// Subtracts what addLoads() added, and removes targets that have no load left.
 void removeLoads(LoadTable &table, const std::vector<EngineLoad> &loads);
-/// Loads for a message, at most `limit`. Prefers targets with most open requests: leaving those out would skew the selection of
-/// engines most.
+/// Loads for a message, at most `limit`. Prefers the targets with the most open requests: leaving those out would skew the
+/// selection of engines most.
 std::vector<EngineLoad> listLoads(const LoadTable &table, std::size_t limit);
 
 /// Adds one entry to a view.
--- a/src/policy/placement.h
+++ b/src/policy/placement.h
@@ -18,8 +18,8 @@
 
 /// The planner's view of an engine.
 struct PlacedEngine {
-    TargetId id;                  ///< target of orders
-    std::string dataCenter;       ///< location
+    TargetId id;                  ///< id of the engine, used in orders
+    std::string dataCenter;       ///< data centre of the engine
     std::string kind;             ///< kind of accelerator
     LayerRange layers;            ///< layers of the pending order, else layers held; empty: none
     bool hasPendingOrder = false; ///< an order is in progress: accepts no other until it is done
@@ -30,9 +30,9 @@
 
 /// A new layer range for an engine.
 struct PlacementOrder {
-    TargetId id;               ///< engine
+    TargetId id;               ///< id of the engine
     LayerRange layers;         ///< range to hold
-    std::string reason;        ///< for logs
+    std::string reason;        ///< reason of the order, for logs
     bool dropsStreams = false; ///< the engine doesn't wait for streams in the layers that it releases
 
     bool operator==(const PlacementOrder &) const = default;
--- a/src/policy/quarantine.h
+++ b/src/policy/quarantine.h
@@ -5,7 +5,7 @@
 // also when its caller sends it again. The other inputs of the first crash complete their steps alone and are cleared. So
 // an input crashes at most two targets, and no harmless input is refused.
 //
-// Pure: no I/O. Entries exchange what they record as notices.
+// Pure: no I/O. Entries send each other what they record (SuspicionNotice).
 #pragma once
 
 #include "base/clock.h"
@@ -37,7 +37,7 @@
 constexpr std::size_t crashesToQuarantine = 2;
 constexpr std::size_t maxSuspicions = 4096;              ///< beyond it, the oldest input that is not quarantined is dropped
 constexpr std::chrono::hours suspicionLifetime{1};       ///< suspect input without a further crash
-constexpr std::chrono::hours quarantineLifetime{24 * 7}; ///< quarantined input that no operator allows
+constexpr std::chrono::hours quarantineLifetime{24 * 7}; ///< quarantined input, unless an operator allows it earlier
 
 /// Classifies an input by its recorded crashes.
 InputStatus classifyInput(const Quarantine &quarantine, std::uint64_t fingerprint);
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing: each member selects the same few peers while they live, and a change of peers affects few members.
+// Rendezvous hashing: each member selects the same few peers while they are up, and a change of peers affects few members.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/routes.h
+++ b/src/policy/routes.h
@@ -35,7 +35,7 @@
 
 /// Where requests with a given host and path prefix are sent.
 struct Route {
-    std::string name;                        ///< for logs
+    std::string name;                        ///< name of the route in logs
     std::string host;                        ///< value of Host, lower case, without port
     std::string prefix;                      ///< begins and ends with a slash
     CallKind kind = CallKind::NonIdempotent; ///< defaults to the kind with the fewest retries
--- a/src/policy/stage_stream.h
+++ b/src/policy/stage_stream.h
@@ -38,7 +38,7 @@
     std::uint32_t promptLength = 0;     ///< in positions; 0 until known
     std::uint32_t applied = 0;          ///< positions whose results are complete
     std::uint32_t inStep = 0;           ///< positions in the engine's current step
-    std::vector<std::uint64_t> waiting; ///< inputs after those: activations, or tokens at the first stage
+    std::vector<std::uint64_t> waiting; ///< inputs not yet given to the engine: activations, or tokens at the first stage
     std::uint32_t tokensAccepted = 0;   ///< first stage: generated tokens accepted as inputs
     bool isPromptWaiting = false;       ///< first stage: the prompt has not been given to the engine yet
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -44,8 +44,8 @@
 /// An invalid text and the section and key that a problem must name.
 struct InvalidText {
     std::string text;    ///< appended to the usual configuration
-    std::string section; ///< named by the problem
-    std::string key;     ///< named by the problem
+    std::string section; ///< section that the problem must name
+    std::string key;     ///< key that the problem must name
 };
 
 std::ostream &operator<<(std::ostream &out, const InvalidText &invalid)
--- a/tests/load_exchange_test.cpp
+++ b/tests/load_exchange_test.cpp
@@ -22,7 +22,7 @@
 struct NetworkFaults {
     double loss = 0;          ///< share of datagrams that are lost
     double duplicated = 0;    ///< share of datagrams that arrive twice
-    milliseconds maxDelay{2}; ///< each datagram is delayed by 1 ms up to this
+    milliseconds maxDelay{2}; ///< each datagram is delayed by a random time from 1 ms to this
 };
 
 struct SimulatedEntry {
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Engines of the given kinds in one data centre.
+/// Makes the given number of engines of each kind in one data centre.
 std::vector<PlacedEngine> makeEngines(const std::string &dataCenter, const std::map<std::string, int> &kinds)
 {
     std::vector<PlacedEngine> engines;
@@ -148,7 +148,7 @@
 BOOST_AUTO_TEST_CASE(aNewEngineIsKeptFreeAtFirst)
 {
     // Engines are replaced one by one, the replacement first. If it loads other layers at once, it can't take over those of the
-    // engine that leaves shortly afterwards.
+    // engine that it replaces.
     const EngineModel model = largeModel();
     std::vector<PlacedEngine> engines = makeEngines("a", {{"middle", 12}});
     planUntilStable(model, engines);
@@ -240,7 +240,7 @@
 {
     // A burst of streams fills the engine with the least KV cache per layer. Its chain then accepts no more, though the other
     // engines are half empty; refused callers retry and are refused again. So moving a layer from this engine to any other one
-    // of the chain must not leave the other with more cache per layer.
+    // of the chain must not leave the other with more cache per layer than this engine has.
     const EngineModel model = modelWithRequestProfile();
     for (int seed = 0; seed < 20; ++seed) {
         std::mt19937_64 random(seed);
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -152,7 +152,7 @@
 BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressIsARestart)
 {
     // A failed engine returns with another id at its address. It replaces no other engine and is assigned layers at once; an
-    // engine at an unknown address may be the replacement of one that leaves shortly afterwards.
+    // engine at an unknown address may be the replacement of one that is about to leave.
     Fleet fleet;
     RegisteredTarget registered;
     registered.id = {"old"};
--- a/tests/shared_budget_test.cpp
+++ b/tests/shared_budget_test.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr double requestsPerSecond = 5; ///< of one entry
+constexpr double requestsPerSecond = 5; ///< request rate of one entry
 constexpr milliseconds step{100};
 
 /// Entries whose requests all fail, so that each makes every retry that it may.
