--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -53,8 +53,8 @@
     ledger.startedCost[request.workspace] += request.cost;
 }
 
-/// Order of start within a workspace.
-static bool hasPriority(const WaitingRequest &a, const WaitingRequest &b)
+/// Whether `a` starts before `b`, which waits in the same workspace.
+static bool startsBefore(const WaitingRequest &a, const WaitingRequest &b)
 {
     const double worthA = a.worth / std::max(a.cost, 1.0);
     const double worthB = b.worth / std::max(b.cost, 1.0);
@@ -69,7 +69,7 @@
             continue;
         }
         const auto [known, isNew] = best.emplace(waiting[i].workspace, i);
-        if (!isNew && hasPriority(waiting[i], waiting[known->second])) {
+        if (!isNew && startsBefore(waiting[i], waiting[known->second])) {
             known->second = i;
         }
     }
--- a/tests/relay_policy_test.cpp
+++ b/tests/relay_policy_test.cpp
@@ -140,10 +140,10 @@
     Target target;
     recordFailure(target, start);
     recordFailure(target, start);
-    target.probeTimeoutsInRow = 1;
+    target.unansweredProbesInRow = 1;
     target.needsProbe = true;
     recordProbeResponse(target);
-    BOOST_TEST(target.probeTimeoutsInRow == 0);
+    BOOST_TEST(target.unansweredProbesInRow == 0);
     BOOST_TEST(target.failuresInRow == 2);
     BOOST_TEST(isFailing(target, start));
     BOOST_TEST(isUsable(target, start + 2 * initialFailureBackoff));
@@ -152,7 +152,7 @@
 BOOST_AUTO_TEST_CASE(anEngineAtAKnownAddressIsARestart)
 {
     // A failed engine returns with another id at its address. It replaces no other engine and is assigned layers at once; an
-    // engine at an unknown address may be the replacement of one that leaves shortly afterwards.
+    // engine at an unknown address may be the replacement of one that is about to leave.
     Fleet fleet;
     RegisteredTarget registered;
     registered.id = {"old"};
