--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -213,7 +213,7 @@
         // The target had closed the idle connection, which is no sign of a failure of the target.
         --m_attempts;
         endAttempt();
-        if (tryRetry(m_context, m_request.service->name)) {
+        if (tryConsumeServiceRetry(m_context, m_request.service->name)) {
             recordRetry(m_context, m_request, "kept connection was stale", m_target.value, m_attempts);
             return startAttempt();
         }
@@ -234,7 +234,7 @@
     const bool isAllowed = !m_mayHaveRun || canRetryAfterRun();
     const bool hasTime = m_context.clock.now() + minAttemptTime < m_request.deadline;
     const bool hasAttempts = m_attempts < m_request.route->maxAttempts;
-    if (isAllowed && hasTime && hasAttempts && tryRetry(m_context, m_request.service->name)) {
+    if (isAllowed && hasTime && hasAttempts && tryConsumeServiceRetry(m_context, m_request.service->name)) {
         recordRetry(m_context, m_request, reason, m_target.value, m_attempts);
         return startAttempt();
     }
--- a/src/relay/context.cpp
+++ b/src/relay/context.cpp
@@ -8,13 +8,13 @@
 namespace Parsleytrail
 {
 
-static SharedBudgetLimits retryTerms(const RelayContext &context)
+static SharedBudgetLimits retryLimits(const RelayContext &context)
 {
-    SharedBudgetLimits terms;
-    terms.share = context.settings.retryShare;
-    terms.burst = context.settings.retryBurst;
-    terms.window = std::chrono::duration_cast<std::chrono::seconds>(context.settings.retryWindow);
-    return terms;
+    SharedBudgetLimits limits;
+    limits.share = context.settings.retryShare;
+    limits.burst = context.settings.retryBurst;
+    limits.window = std::chrono::duration_cast<std::chrono::seconds>(context.settings.retryWindow);
+    return limits;
 }
 
 static RetryBudget &retryBudgetOf(RelayContext &context, const ServiceName &service)
@@ -23,7 +23,7 @@
     if (it != context.retryBudgets.end()) {
         return it->second;
     }
-    RetryBudget budget = makeRetryBudget(retryTerms(context), entriesToShareWith(context.entryCount, context.clock.now()));
+    RetryBudget budget = makeRetryBudget(retryLimits(context), entriesToShareWith(context.entryCount, context.clock.now()));
     if (context.hasRetryShare) {
         grantRetryBurst(budget);
     }
@@ -38,28 +38,28 @@
 void updateBudgetShares(RelayContext &context)
 {
     const TimePoint now = context.clock.now();
-    const SharedBudgetLimits terms = retryTerms(context);
-    const bool isGranted = !context.hasRetryShare && now - context.entryCount.startedAt >= terms.window;
+    const SharedBudgetLimits limits = retryLimits(context);
+    const bool isGranted = !context.hasRetryShare && now - context.entryCount.startedAt >= limits.window;
     context.hasRetryShare = context.hasRetryShare || isGranted;
     for (auto &[service, budget] : context.retryBudgets) {
-        resizeRetryBudget(budget, terms, entriesToShareWith(context.entryCount, now));
+        resizeRetryBudget(budget, limits, entriesToShareWith(context.entryCount, now));
         if (isGranted) {
             grantRetryBurst(budget);
         }
     }
 }
 
-bool tryRetry(RelayContext &context, const ServiceName &service)
+bool tryConsumeServiceRetry(RelayContext &context, const ServiceName &service)
 {
     return tryConsumeRetry(retryBudgetOf(context, service));
 }
 
-bool canRetry(RelayContext &context, const ServiceName &service)
+bool hasRetryBudget(RelayContext &context, const ServiceName &service)
 {
     return retryBudgetOf(context, service).available >= 1;
 }
 
-bool hasSpareRetries(RelayContext &context, const ServiceName &service)
+bool hasAmpleRetryBudget(RelayContext &context, const ServiceName &service)
 {
     const RetryBudget &budget = retryBudgetOf(context, service);
     return budget.available > budget.burst / 2;
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -57,11 +57,11 @@
 /// Adapts this entry's shares of the retry budgets to the current time and the number of entries. Called once a second.
 void updateBudgetShares(RelayContext &context);
 /// Consumes one retry from this entry's share of the service's budget; returns false if none is left.
-bool tryRetry(RelayContext &context, const ServiceName &service);
+bool tryConsumeServiceRetry(RelayContext &context, const ServiceName &service);
 /// Whether a retry is left in the budget; consumes nothing.
-bool canRetry(RelayContext &context, const ServiceName &service);
+bool hasRetryBudget(RelayContext &context, const ServiceName &service);
 /// Whether more than half of this entry's share is left. Optional retries are made only then.
-bool hasSpareRetries(RelayContext &context, const ServiceName &service);
+bool hasAmpleRetryBudget(RelayContext &context, const ServiceName &service);
 /// Adds a request to the service's retry budget, which grows with the number of requests.
 void recordRequest(RelayContext &context, const ServiceName &service);
 
--- a/src/relay/engine_prober.cpp
+++ b/src/relay/engine_prober.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds suspectTimeout{60};
 /// Chain selection avoids engines that report a higher slowdown factor, as far as possible. Such engines are probed at
 /// slowEngineProbeInterval until they are faster.
-constexpr double slownessThreshold = 1.2;
+constexpr double slowdownThreshold = 1.2;
 constexpr milliseconds slowEngineProbeInterval{1000};
 
 struct EngineProber::Private {
@@ -60,7 +60,7 @@
 {
     const TimePoint now = context.clock.now();
     for (const auto &[id, target] : context.fleet.targets) {
-        const bool isSlow = target.slowdownFactor > slownessThreshold && now - target.reportedAt >= slowEngineProbeInterval;
+        const bool isSlow = target.slowdownFactor > slowdownThreshold && now - target.reportedAt >= slowEngineProbeInterval;
         if (isSlow || (target.needsProbe && now >= target.avoidUntil)) {
             probe(id, probeTimeout);
         }
@@ -114,13 +114,13 @@
     }
     recordProbeResponse(target);
     target.hasReportedOrders = true;
-    target.slowdownFactor = std::max(1.0, report.slowness);
+    target.slowdownFactor = std::max(1.0, report.passSlowdownFactor);
     target.reportedAt = context.clock.now();
     const bool isNewer = report.ordersAccepted >= target.ordersAccepted || report.startedAtMs > target.registered.startedAtMs;
     if (isNewer) {
         target.registered.layers = report.layers;
         target.ordersAccepted = report.ordersAccepted;
-        target.isExecutingOrder = report.isBusy;
+        target.isExecutingOrder = report.hasOrderInProgress;
     }
     for (const StalledRequest &stalled : report.stalled) {
         const Target *unresponsive = findTargetAt(context.fleet, stalled.address);
--- a/src/relay/placement_controller.cpp
+++ b/src/relay/placement_controller.cpp
@@ -31,7 +31,7 @@
 /// ignores them would contradict them.
 constexpr milliseconds takeoverPause{250};
 /// Pause after an order that was refused: the engine's report is pending, and lags by some hundred milliseconds.
-constexpr milliseconds refusalPause{600};
+constexpr milliseconds refusedOrderPause{600};
 
 /// An order that was sent and not yet seen to be carried out.
 struct PendingOrder {
@@ -44,7 +44,7 @@
     RelayContext &context;
     HttpClient &client;
     EngineProber &prober;
-    std::function<bool()> isHeld;
+    std::function<bool()> maySendOrders;
     std::function<bool()> mayListBeIncomplete;
     std::set<ServiceName> stableServices{}; ///< services whose list of engines was complete once
     std::unique_ptr<Timer> tick{};
@@ -52,7 +52,7 @@
     std::map<TargetId, TimePoint> refusedAt{};         ///< when an engine last refused an order or did not answer it
     std::map<ServiceName, std::size_t> engineCounts{}; ///< number of engines at the last check
     std::map<ServiceName, TimePoint> lastGrownAt{};    ///< when the number of engines last grew
-    TimePoint heldSince{};                             ///< when this entry became the leader; zero: it is not
+    TimePoint leadingSince{};                          ///< when this entry became the leader; zero: it is not
     TimePoint busyProbedAt{};                          ///< when engines that carry out orders of other entries were last probed
 
     void plan();
@@ -67,9 +67,9 @@
     void handleResponse(const TargetId &id, const HttpResult &result);
 };
 
-PlacementController::PlacementController(RelayContext &context, HttpClient &client, EngineProber &prober, std::function<bool()> isHeld,
+PlacementController::PlacementController(RelayContext &context, HttpClient &client, EngineProber &prober, std::function<bool()> maySendOrders,
                                          std::function<bool()> mayListBeIncomplete)
-    : d(new Private{context, client, prober, std::move(isHeld), std::move(mayListBeIncomplete)})
+    : d(new Private{context, client, prober, std::move(maySendOrders), std::move(mayListBeIncomplete)})
 {
     d->tick = std::make_unique<Timer>(context.loop, [this] {
         d->plan();
@@ -94,9 +94,9 @@
         return;
     }
     const TimePoint now = context.clock.now();
-    if (!isHeld()) {
+    if (!maySendOrders()) {
         pending.clear();
-        heldSince = TimePoint();
+        leadingSince = TimePoint();
         // The list of engines is checked for completeness without the lease too, so that a new leader need not wait.
         for (const auto &[name, service] : context.routes->services) {
             if (service.engine) {
@@ -105,8 +105,8 @@
         }
         return;
     }
-    if (heldSince == TimePoint()) {
-        heldSince = now;
+    if (leadingSince == TimePoint()) {
+        leadingSince = now;
         probeAllEngines();
     }
     updatePendingOrders(now);
@@ -231,14 +231,14 @@
 void PlacementController::Private::planService(const ServiceSpec &service, TimePoint now)
 {
     const std::vector<PlacedEngine> engines = enginesOf(service, now);
-    const bool isTakingOver = hasPlacedLayers(engines) && now - heldSince < takeoverPause;
+    const bool isTakingOver = hasPlacedLayers(engines) && now - leadingSince < takeoverPause;
     if (engines.empty() || !isEngineListStable(service, engines, now) || isTakingOver) {
         return;
     }
     for (const PlacementOrder &order : planPlacement(*service.engine, engines)) {
         const bool isOrdered = pending.contains(order.id);
         const Target *target = findTarget(context.fleet, order.id);
-        const bool isPausing = refusedAt.contains(order.id) && now - refusedAt[order.id] < refusalPause;
+        const bool isPausing = refusedAt.contains(order.id) && now - refusedAt[order.id] < refusedOrderPause;
         if (isOrdered || isPausing || !target || !isUsable(*target, now)) {
             continue;
         }
--- a/src/relay/placement_controller.h
+++ b/src/relay/placement_controller.h
@@ -20,7 +20,7 @@
 {
 public:
     /// `isHeld` returns whether this entry may send orders, `mayListBeIncomplete` whether live engines may be missing in the fleet.
-    PlacementController(RelayContext &context, HttpClient &client, EngineProber &prober, std::function<bool()> isHeld,
+    PlacementController(RelayContext &context, HttpClient &client, EngineProber &prober, std::function<bool()> maySendOrders,
                         std::function<bool()> mayListBeIncomplete);
     ~PlacementController();
     void start();
--- a/src/relay/platform_adapter.h
+++ b/src/relay/platform_adapter.h
@@ -45,8 +45,8 @@
 /// State of an engine as it reports it.
 struct EngineReport {
     LayerRange layers;                   ///< layers that it holds
-    bool isBusy = false;                 ///< it is carrying out an order
-    double slowness = 1;                 ///< slowdown factor of each pass; 1: usual speed
+    bool hasOrderInProgress = false;     ///< it is carrying out an order
+    double passSlowdownFactor = 1;       ///< slowdown factor of each pass; 1: usual speed
     std::uint64_t ordersAccepted = 0;    ///< number of orders begun since its start
     std::uint64_t startedAtMs = 0;       ///< its start time, Unix milliseconds
     std::vector<StalledRequest> stalled; ///< requests that entered their chain here and are stalled
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -204,15 +204,15 @@
     }
     std::map<TargetId, TimePoint> lastProgressAt;
     for (const ForwardingPtr &forwarding : open) {
-        for (const ChainStage &part : forwarding->chain()) {
-            TimePoint &at = lastProgressAt[part.id];
+        for (const ChainStage &stage : forwarding->chain()) {
+            TimePoint &at = lastProgressAt[stage.id];
             at = std::max(at, forwarding->lastProgressAt());
         }
     }
     for (const Forwarding *forwarding : stalled) {
-        for (const ChainStage &part : forwarding->chain()) {
-            if (now - lastProgressAt[part.id] >= threshold) {
-                prober->probeSuspect(part.id);
+        for (const ChainStage &stage : forwarding->chain()) {
+            if (now - lastProgressAt[stage.id] >= threshold) {
+                prober->probeSuspect(stage.id);
             }
         }
     }
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -37,7 +37,7 @@
 /// The same before the first event, while the prompt is processed in parts between the passes of other streams.
 constexpr milliseconds firstEventStallTimeout{900};
 /// Upper bound of a gap's contribution to the usual gap, so that stalls don't raise the stall threshold.
-constexpr double maxUsualGapMs = 250;
+constexpr double maxAveragedGapMs = 250;
 /// Bounds of the stall threshold. A stream is late after some 200 ms, and querying all engines of its chain is cheap. Under
 /// normal conditions 99 of 100 streams have no gap above 105 ms.
 constexpr double minStallMs = 90;
@@ -86,8 +86,8 @@
 
 private:
     void readDemand();
-    ChainSelectionContext currentSituation() const;
-    std::vector<ChainStage> findChain(const ChainSelectionContext &situation);
+    ChainSelectionContext makeSelectionContext() const;
+    std::vector<ChainStage> findChain(const ChainSelectionContext &selectionContext);
     void startAttempt();
     void startOnChain(std::vector<ChainStage> chain);
     bool startMove();
@@ -95,7 +95,7 @@
     void handleMoveResult(bool isMoved, int move, const std::vector<ChainStage> &previousChain);
     void restartOnOtherChain(std::string_view reason);
     void retryChainSearch(TimePoint now);
-    void handleMissingChain(const ChainSelectionContext &situation);
+    void handleMissingChain(const ChainSelectionContext &selectionContext);
     void reserve(int direction);
     void handleHead(const HttpHead &head) override;
     void handleBody(std::string &body) override;
@@ -184,26 +184,26 @@
     }
 }
 
-static std::string capacityText(const std::vector<DataCenterFreeCapacity> &rooms)
+static std::string capacityText(const std::vector<DataCenterFreeCapacity> &capacities)
 {
     std::vector<std::string> parts;
-    parts.reserve(rooms.size());
-    for (const DataCenterFreeCapacity &capacity : rooms) {
+    parts.reserve(capacities.size());
+    for (const DataCenterFreeCapacity &capacity : capacities) {
         parts.push_back(absl::StrCat(capacity.dataCenter, " engines ", capacity.engines, " slots ", capacity.freeSlots, " streams ", capacity.streams,
                                      " at layer ", capacity.bottleneckLayer));
     }
     return joined(parts, ", ");
 }
 
-void StreamForwarding::handleMissingChain(const ChainSelectionContext &situation)
+void StreamForwarding::handleMissingChain(const ChainSelectionContext &selectionContext)
 {
-    if (m_mayHaveRun && situation.now - m_lastEventAt < maxCallerPause) {
+    if (m_mayHaveRun && selectionContext.now - m_lastEventAt < maxCallerPause) {
         // The caller has received a part of its response; uncovered layers are often loaded before it disconnects.
         m_isWaitingForChain = true;
         m_chain.clear();
         return;
     }
-    const FleetFreeCapacity capacity = freeCapacityLeft(m_context.fleet, situation, m_demand);
+    const FleetFreeCapacity capacity = freeCapacityLeft(m_context.fleet, selectionContext, m_demand);
     const bool isFull = capacity.coversAllLayers;
     const std::string_view reason = isFull ? "no-room" : "no-chain";
     if (m_mayHaveRun) {
@@ -217,37 +217,37 @@
     end();
 }
 
-ChainSelectionContext StreamForwarding::currentSituation() const
+ChainSelectionContext StreamForwarding::makeSelectionContext() const
 {
-    ChainSelectionContext situation;
-    situation.model = &*m_request.service->engine;
-    situation.service = m_request.service->name;
-    situation.dataCenter = m_context.settings.dataCenter;
-    situation.now = m_context.clock.now();
-    situation.excluded = m_excluded;
-    return situation;
+    ChainSelectionContext selectionContext;
+    selectionContext.model = &*m_request.service->engine;
+    selectionContext.service = m_request.service->name;
+    selectionContext.dataCenter = m_context.settings.dataCenter;
+    selectionContext.now = m_context.clock.now();
+    selectionContext.excluded = m_excluded;
+    return selectionContext;
 }
 
 /// Selects a chain within one data centre. If there is none, selects one across data centres, provided that the budget for
 /// traffic between them allows it.
-std::vector<ChainStage> StreamForwarding::findChain(const ChainSelectionContext &situation)
+std::vector<ChainStage> StreamForwarding::findChain(const ChainSelectionContext &selectionContext)
 {
     ChainTuning tuning;
     tuning.allowsCrossDataCenter = false;
-    std::vector<ChainStage> chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
-    if (chain.empty() && hasCrossDataCenterBudget(crossDataCenterBudget(m_context, *m_request.service), situation.now)) {
+    std::vector<ChainStage> chain = selectChain(m_context.fleet, selectionContext, m_demand, m_context.random, tuning);
+    if (chain.empty() && hasCrossDataCenterBudget(crossDataCenterBudget(m_context, *m_request.service), selectionContext.now)) {
         tuning.allowsCrossDataCenter = true;
-        chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, tuning);
+        chain = selectChain(m_context.fleet, selectionContext, m_demand, m_context.random, tuning);
     }
     return chain;
 }
 
 void StreamForwarding::startAttempt()
 {
-    const ChainSelectionContext situation = currentSituation();
-    std::vector<ChainStage> chain = findChain(situation);
+    const ChainSelectionContext selectionContext = makeSelectionContext();
+    std::vector<ChainStage> chain = findChain(selectionContext);
     if (chain.empty()) {
-        return handleMissingChain(situation);
+        return handleMissingChain(selectionContext);
     }
     startOnChain(std::move(chain));
 }
@@ -340,7 +340,7 @@
         requestReportsAfterLongGap(now);
         m_context.metrics.eventGap.record(gap);
         constexpr double newShare = 0.02; // averages over about fifty events, which take a second or less
-        m_context.averageEventGapMs += newShare * (std::min(gap * 1000, maxUsualGapMs) - m_context.averageEventGapMs);
+        m_context.averageEventGapMs += newShare * (std::min(gap * 1000, maxAveragedGapMs) - m_context.averageEventGapMs);
     }
     m_lastEventAt = now;
     m_request.exchange->send(event.bytes);
@@ -461,7 +461,7 @@
     const bool isAllowed = !m_mayHaveRun || canRetryAfterRun();
     const bool hasTime = m_context.clock.now() + minAttemptTime < m_request.deadline;
     const bool hasAttempts = m_attempts < m_request.route->maxAttempts && m_refusals < maxRefusals;
-    if (isAllowed && hasTime && hasAttempts && tryRetry(m_context, m_request.service->name)) {
+    if (isAllowed && hasTime && hasAttempts && tryConsumeServiceRetry(m_context, m_request.service->name)) {
         recordRetry(m_context, m_request, reason, firstTarget(), m_attempts);
         return startAttempt();
     }
@@ -489,19 +489,19 @@
 {
     ChainTuning localTuning;
     localTuning.allowsCrossDataCenter = false;
-    ChainSelectionContext situation = currentSituation();
-    situation.current = m_chain;
+    ChainSelectionContext selectionContext = makeSelectionContext();
+    selectionContext.current = m_chain;
     reserve(-1);
-    std::vector<ChainStage> chain = selectChain(m_context.fleet, situation, m_demand, m_context.random, localTuning);
+    std::vector<ChainStage> chain = selectChain(m_context.fleet, selectionContext, m_demand, m_context.random, localTuning);
     if (chain.empty()) {
         reserve(+1);
         return false;
     }
     m_chain = std::move(chain);
     reserve(+1);
-    m_moveAttemptedAt = situation.now;
+    m_moveAttemptedAt = selectionContext.now;
     const int move = ++m_moves;
-    m_hooks.moveStream(m_request.attemptId, m_chain, [weak = weak_from_this(), this, move, previousChain = std::move(situation.current)](bool isMoved) {
+    m_hooks.moveStream(m_request.attemptId, m_chain, [weak = weak_from_this(), this, move, previousChain = std::move(selectionContext.current)](bool isMoved) {
         if (const auto self = weak.lock()) {
             handleMoveResult(isMoved, move, previousChain);
         }
@@ -541,7 +541,7 @@
     }
     const TimePoint now = m_context.clock.now();
     m_leavingSince = m_leavingSince == TimePoint() ? now : m_leavingSince;
-    const bool canRestart = m_attempts < m_request.route->maxAttempts && hasSpareRetries(m_context, m_request.service->name);
+    const bool canRestart = m_attempts < m_request.route->maxAttempts && hasAmpleRetryBudget(m_context, m_request.service->name);
     if (now - m_leavingSince >= leavingRestartDelay && canRestart) {
         restartOnOtherChain("engine of the chain is about to go");
     }
@@ -590,7 +590,7 @@
 {
     const int attempts = m_isStream ? m_attempts : m_attempts + 1;
     const bool hasTime = m_context.clock.now() + minAttemptTime < m_request.deadline;
-    const bool canRestart = canRetryAfterRun() && attempts < m_request.route->maxAttempts && hasTime && canRetry(m_context, m_request.service->name);
+    const bool canRestart = canRetryAfterRun() && attempts < m_request.route->maxAttempts && hasTime && hasRetryBudget(m_context, m_request.service->name);
     if (!canRestart) {
         return;
     }
@@ -610,8 +610,8 @@
     }
     m_chainSearchedAt = now;
     // Searching is free; the retry budget is consumed only if there is a chain.
-    std::vector<ChainStage> chain = findChain(currentSituation());
-    if (!chain.empty() && tryRetry(m_context, m_request.service->name)) {
+    std::vector<ChainStage> chain = findChain(makeSelectionContext());
+    if (!chain.empty() && tryConsumeServiceRetry(m_context, m_request.service->name)) {
         startOnChain(std::move(chain));
     }
 }
--- a/tests/relay_calls_test.cpp
+++ b/tests/relay_calls_test.cpp
@@ -558,9 +558,9 @@
     system.store().faults().isDown = true;
     system.idle(milliseconds(700));
     system.store().faults().isDown = false;
-    constexpr milliseconds lapsedEntryRecoveryTime{2300};
+    constexpr milliseconds expiredEntryGrace{2300};
     constexpr milliseconds detectionTime{900};
-    system.idle(lapsedEntryRecoveryTime + detectionTime);
+    system.idle(expiredEntryGrace + detectionTime);
     system.unregister("t1");
     system.idle(milliseconds(400));
     BOOST_TEST(system.relay().dumpState().find("\"t1\"") == std::string::npos);
