--- a/src/relay/call_forwarding.cpp
+++ b/src/relay/call_forwarding.cpp
@@ -210,7 +210,7 @@
         return end();
     }
     if (failure.isReused && failure.mayHaveRun && !failure.hasResponseHead) {
-        // The target had closed the idle connection, which is no sign of a failure of the target.
+        // The target may have closed the idle connection before the request arrived, which is no sign of a failure of the target.
         --m_attempts;
         endAttempt();
         if (tryConsumeServiceRetry(m_context, m_request.service->name)) {
--- a/src/relay/caller_session.cpp
+++ b/src/relay/caller_session.cpp
@@ -15,7 +15,7 @@
 /// Interval of checking sessions for timeouts, which are several seconds long.
 constexpr milliseconds sessionCheckInterval{250};
 /// Upper bound of the memory reserved for a body because of its announced length, before its bytes arrive. Reading pauses at
-/// four times as many unprocessed bytes.
+/// more than four times as many unprocessed bytes.
 constexpr std::size_t initialBodyReserveBytes = 64 * 1024;
 
 struct CallerSession;
@@ -26,7 +26,7 @@
     Handler handler;
     SessionLimits limits{};
     std::set<std::shared_ptr<CallerSession>> sessions{};
-    std::set<ConnectionPtr> closing{}; ///< answered; the remaining bytes are being sent
+    std::set<ConnectionPtr> closing{}; ///< connections whose last response is complete and is still being sent
     std::unique_ptr<Timer> tick{};
     std::size_t openExchanges = 0;
     bool isDraining = false;
@@ -51,11 +51,11 @@
 struct CallerSession : std::enable_shared_from_this<CallerSession> {
     CallerSessions::Private *owner = nullptr;
     ConnectionPtr connection;
-    CallerExchangePtr exchange; ///< being read or answered
+    CallerExchangePtr exchange; ///< request that is being read or answered; null between requests
     BodyReader bodyReader;
     bool isReadingBody = false;
     bool isAnswering = false; ///< the request was passed to the handler or rejected
-    TimePoint waitingSince{}; ///< first byte of a head, last part of a body, or end of a response
+    TimePoint waitingSince{}; ///< when the first byte of a head, the last part of a body or the end of a response was processed
     bool hasPartialHead = false;
 
     void start();
--- a/src/relay/context.h
+++ b/src/relay/context.h
@@ -58,14 +58,15 @@
 void updateBudgetShares(RelayContext &context);
 /// Consumes one retry from this entry's share of the service's budget; returns false if none is left.
 bool tryConsumeServiceRetry(RelayContext &context, const ServiceName &service);
-/// Whether a retry is left in the budget; consumes nothing.
+/// Whether a retry is left in this entry's share of the service's budget; consumes nothing.
 bool hasRetryBudget(RelayContext &context, const ServiceName &service);
 /// Whether more than half of this entry's share is left. Optional retries are made only then.
 bool hasAmpleRetryBudget(RelayContext &context, const ServiceName &service);
 /// Adds a request to the service's retry budget, which grows with the number of requests.
 void recordRequest(RelayContext &context, const ServiceName &service);
 
-/// This entry's share of the link between data centres for a service, at the rate of the newest configuration.
+/// Token bucket for this entry's share of the link between data centres that a service uses, with the rate and burst of the newest
+/// configuration.
 TokenBucket &crossDataCenterBudget(RelayContext &context, const ServiceSpec &service);
 
 /// Records a failure of a target: it gets no new work until its pause is over, and an engine not before it has answered a probe.
--- a/src/relay/engine_prober.cpp
+++ b/src/relay/engine_prober.cpp
@@ -9,11 +9,11 @@
 
 constexpr milliseconds probeCheckInterval{100}; ///< how often engines that are due for a probe are searched for
 constexpr milliseconds probeTimeout{400};       ///< a report needs no free slot: a live engine answers within milliseconds
-/// Timeout for an engine through which no stream has made progress. A stream that is moved after this time often still meets its
-/// deadline; an engine wrongly classified as dead costs processing some prompts again.
+/// Timeout for an engine through which no stream has made progress for the stall threshold. A stream that is moved after this time
+/// is often still on time; an engine wrongly classified as unresponsive costs processing some prompts again.
 constexpr milliseconds suspectTimeout{60};
-/// Chain selection avoids engines that report a higher slowdown factor, as far as possible. Such engines are probed at
-/// slowEngineProbeInterval until they are faster.
+/// Chain selection avoids slow engines as far as possible. Engines that reported a higher slowdown factor than this are probed again
+/// at slowEngineProbeInterval, until they report a lower one.
 constexpr double slowdownThreshold = 1.2;
 constexpr milliseconds slowEngineProbeInterval{1000};
 
--- a/src/relay/engine_prober.h
+++ b/src/relay/engine_prober.h
@@ -1,5 +1,5 @@
-// Queries engines for their state and checks that they respond: engines that failed, engines that carry out an order, and first
-// engines of chains with stalled requests.
+// Queries engines for their state and checks that they respond: engines that failed or are slow, engines that carry out an
+// order, and engines of chains with stalled requests.
 #pragma once
 
 #include "http/client.h"
@@ -26,7 +26,7 @@
     void start();
     /// Probes an engine now, unless a probe of it is pending. Does nothing for targets that are no engines.
     void probe(const TargetId &id);
-    /// Probes an engine that streams seem to wait for, with a far shorter timeout.
+    /// Probes an engine that streams seem to wait for, with a timeout of 60 ms instead of 400 ms.
     void probeSuspect(const TargetId &id);
 
 private:
--- a/src/relay/forwarding.h
+++ b/src/relay/forwarding.h
@@ -67,7 +67,7 @@
     std::function<void(const std::string &attemptId, const std::vector<ChainStage> &chain, std::function<void(bool)> done)> moveStream;
 };
 
-/// Time without an event after which a stream counts as stalled: a small multiple of the usual gap between events, as gaps
+/// Time without an event after which a stream counts as stalled: a small multiple of the average gap between events, as gaps
 /// vary little within a chain.
 milliseconds stallThreshold(const RelayContext &context);
 
--- a/src/relay/http_message.cpp
+++ b/src/relay/http_message.cpp
@@ -150,7 +150,8 @@
 
 ParseResult parseResponseHead(std::string_view input, std::size_t maxBytes, HttpHead &head)
 {
-    // Reject bytes that can't become a response immediately: a peer that doesn't speak HTTP may never send the end of a head.
+    // Reject bytes that can't become a response immediately: a peer that sends something else than HTTP may never send the end
+    // of a head.
     static constexpr std::string_view httpPrefix = "HTTP/1.";
     if (input.substr(0, httpPrefix.size()) != httpPrefix.substr(0, input.size())) {
         return ParseResult::Malformed;
--- a/src/relay/placement_controller.cpp
+++ b/src/relay/placement_controller.cpp
@@ -30,7 +30,7 @@
 /// A new leader probes all engines first and plans after this time. Orders of the previous leader may be pending: a plan that
 /// ignores them would contradict them.
 constexpr milliseconds takeoverPause{250};
-/// Pause after an order that was refused: the engine's report is pending, and lags by some hundred milliseconds.
+/// Pause after an order that was refused or not answered: the engine's report is pending, and lags by some hundred milliseconds.
 constexpr milliseconds refusedOrderPause{600};
 
 /// An order that was sent and not yet seen to be carried out.
@@ -194,7 +194,7 @@
         engine.isNew = !target.isRestart && now - target.registeredAt < newEngineReserveTime;
         engine.isUnreachable = trustsFailures && isLost(target);
         engine.isLeaving = target.registered.isDraining || engine.isUnreachable || target.refusalsInRow >= refusalsUntilLeaving;
-        engine.hasPendingOrder = target.isExecutingOrder; // by an order of another leader, or one whose response was lost
+        engine.hasPendingOrder = target.isExecutingOrder; // it executes an order of another leader, or one whose response was lost
         const auto order = pending.find(id);
         if (order != pending.end()) {
             engine.layers = order->second.layers;
@@ -213,8 +213,9 @@
     });
 }
 
-/// Whether the list of engines is complete: it has not grown for stableListTime. After a start, and after an outage of the store,
-/// live engines may be missing in it; a plan without them would move layers that are placed correctly.
+/// Whether the list of engines is complete: it once did not grow for stableListTime, and mayListBeIncomplete() is false. After a
+/// start, and after an outage of the store, live engines may be missing in it; a plan without them would move layers that are placed
+/// correctly.
 bool PlacementController::Private::isEngineListStable(const ServiceSpec &service, const std::vector<PlacedEngine> &engines, TimePoint now)
 {
     std::size_t &count = engineCounts[service.name];
--- a/src/relay/placement_controller.h
+++ b/src/relay/placement_controller.h
@@ -19,7 +19,8 @@
 class PlacementController
 {
 public:
-    /// `isHeld` returns whether this entry may send orders, `mayListBeIncomplete` whether live engines may be missing in the fleet.
+    /// `maySendOrders` returns whether this entry leads the placement now, `mayListBeIncomplete` whether live engines may be missing
+    /// in the fleet.
     PlacementController(RelayContext &context, HttpClient &client, EngineProber &prober, std::function<bool()> maySendOrders,
                         std::function<bool()> mayListBeIncomplete);
     ~PlacementController();
--- a/src/relay/platform_adapter.h
+++ b/src/relay/platform_adapter.h
@@ -27,12 +27,12 @@
     std::string expectedTarget;      ///< id of the only target that may run the request
     std::string seal;                ///< set by a target to prove that a response is its own
     std::string notExecuted;         ///< in a response: the target did not run the request
-    std::string tokenCounts;         ///< "P,A": tokens of the prompt, and the maximum for the answer
+    std::string tokenCounts;         ///< two numbers, such as "100,20": tokens of the prompt, maximum tokens of the answer
     std::string answerEstimate;      ///< the caller's estimate of the tokens of the answer
     std::string lastEventId;         ///< the stream resumes after the event with this id
     std::string chain;               ///< engines and layers that a request passes through
     std::string faultyTarget;        ///< in a refusal: address of the engine at fault
-    std::string requestPriority;     ///< 0 (highest) to 9; sent to engines
+    std::string requestPriority;     ///< 0 (highest) to 9, for engines; the caller's value is not forwarded
     std::string authorizationScheme; ///< scheme before the key in Authorization, e.g. "Bearer"
 };
 
--- a/src/relay/registry.h
+++ b/src/relay/registry.h
@@ -31,8 +31,8 @@
     void applyPeerState(const PeersView &others);
     /// Encoded TableCopy for a peer's encoded TableWanted; empty if that is malformed or names an unknown table.
     std::string copyTable(std::string_view wantedBytes) const;
-    /// Whether live targets may be missing: their rows expire during an outage of the store, the store has just recovered, and this
-    /// entry had not read the complete list before the outage.
+    /// Whether live targets may be missing: their rows expire during an outage of the store, the store recovered less than 2.3 s
+    /// ago, and this entry had not read the complete list before the outage.
     bool mayListBeIncomplete() const;
     /// Whether the store is unreachable, and when it last became so.
     bool isStoreLost() const;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -36,14 +36,14 @@
 /// store's first response takes a fraction of a second, but callers retry only once, and may do so early: a request that was
 /// refused is late in any case.
 constexpr milliseconds unknownRetryAfter{2000};
-/// Callers of a process that died connect to its successor within milliseconds, and only once; if that refuses them, their requests
-/// are lost, although it reads its configuration in a fraction of a second. So their connections wait up to this long; callers
-/// abandon a request that is not read for a second.
+/// Callers of a process that died connect to its successor within milliseconds, and only once. A request that is refused then is
+/// lost, although the successor reads its configuration in a fraction of a second. So new connections wait up to this long for the
+/// configuration and the targets; callers abandon a request that is not read for a second.
 constexpr milliseconds maxStartupAcceptDelay{800};
 constexpr milliseconds budgetUpdateInterval{1000}; ///< how often this entry's shares of budgets are adapted
 
-/// The engines of a stalled stream are probed for this long after the stall threshold; after that its first engine is probed for
-/// the engine that it waits for.
+/// The engines of a stalled stream are probed for this long after the stall threshold. After that only its first engine is queried,
+/// whose report names the engine that the stream waits for.
 constexpr milliseconds suspectWindow{60};
 /// The first engine of a chain answers an order to move a stream immediately.
 constexpr milliseconds moveTimeout{150};
@@ -72,8 +72,8 @@
     TimePoint drainStartedAt{};
     bool isDraining = false;
     bool wasReady = false;
-    bool isFallbackLeader = false; ///< it sends orders without the lease, while the store is unreachable
-    bool isPlanScheduled = false;  ///< schedulePlan() was called and the plan was not computed yet
+    bool isFallbackLeader = false; ///< this entry sends orders without the lease, while the store is unreachable
+    bool isPlanScheduled = false;  ///< schedulePlan() was called, and the plan has not been computed yet
 
     void handleRequest(const CallerExchangePtr &exchange);
     void forward(ForwardedRequest request);
@@ -188,7 +188,7 @@
 }
 
 /// Probes the engines that a stalled stream may wait for: those of its chain through which no other stream has made progress
-/// since. An engine that does not answer is classified as dead.
+/// since. An engine that does not answer counts as unresponsive.
 void Relay::Private::probeSuspects(const std::vector<ForwardingPtr> &open, TimePoint now)
 {
     const milliseconds threshold = stallThreshold(context);
@@ -269,7 +269,8 @@
 
 // [SECTION] Leadership
 
-/// The other entries that decide who leads the placement: the first of them by id, and the first that sends orders.
+/// The other entries that mayOrderWithoutLease() has to consider: the one with the lowest id among those that are not stopping, and
+/// the one with the lowest id among those that send orders.
 static std::vector<FallbackLeaderPeer> leadershipCandidates(const EntriesView &others)
 {
     std::vector<FallbackLeaderPeer> peers;
@@ -304,7 +305,8 @@
     return isAllowed;
 }
 
-/// Whether another entry reports that it sends orders. Reports of an entry that died expire after 1500 ms.
+/// Whether another entry reports that it sends orders. Reports of an entry that died expire after 1500 ms
+/// (exchangeTimeout), those of the aggregator of another group somewhat later if there are many groups.
 bool Relay::Private::isLeaderElsewhere() const
 {
     return peers && !peers->others().entries.ordering.isEmpty();
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -29,7 +29,7 @@
 
     /// Listens, and starts to read the configuration and the targets. Fails with the step "listen".
     Result<void> start();
-    /// Reports not ready from now on; calls back when the last request has ended, or shortly before the stop timeout.
+    /// Reports not ready from now on; calls back when the last request has ended, or 350 ms before the stop timeout.
     void drain(std::function<void()> finished);
     /// Port that callers connect to; the assigned port if the settings say 0.
     std::uint16_t callerPort() const;
--- a/src/relay/relay_peers.cpp
+++ b/src/relay/relay_peers.cpp
@@ -125,7 +125,7 @@
     }
 }
 
-/// Updates the fleet with the load that the other relays have on each target.
+/// Combines the newest state of the other relays, and updates the fleet with the load that they have on each target.
 void RelayPeers::Private::updatePeerState()
 {
     const PeersView before = std::exchange(others, peersView(exchange, context.clock.now()));
--- a/src/relay/stream_forwarding.cpp
+++ b/src/relay/stream_forwarding.cpp
@@ -36,13 +36,13 @@
 constexpr milliseconds eventStallTimeout{350};
 /// The same before the first event, while the prompt is processed in parts between the passes of other streams.
 constexpr milliseconds firstEventStallTimeout{900};
-/// Upper bound of a gap's contribution to the usual gap, so that stalls don't raise the stall threshold.
+/// Upper bound of a gap's contribution to the average gap, so that stalls don't raise the stall threshold.
 constexpr double maxAveragedGapMs = 250;
 /// Bounds of the stall threshold. A stream is late after some 200 ms, and querying all engines of its chain is cheap. Under
 /// normal conditions 99 of 100 streams have no gap above 105 ms.
 constexpr double minStallMs = 90;
 constexpr double maxStallMs = 350;
-/// Ratio of the stall threshold to the usual gap.
+/// Ratio of the stall threshold to the average gap.
 constexpr double stallFactor = 1.9;
 /// Interval of querying a stalled stream's first engine.
 constexpr milliseconds stallQueryInterval{250};
@@ -172,6 +172,7 @@
     m_lastEventId = m_resumeAfterId;
 }
 
+/// Adds (`direction` +1) or removes (-1) the request and its planned KV cache at the engines of its chain.
 void StreamForwarding::reserve(int direction)
 {
     m_isReserved = direction > 0;
@@ -609,7 +610,7 @@
         return;
     }
     m_chainSearchedAt = now;
-    // Searching is free; the retry budget is consumed only if there is a chain.
+    // The search consumes nothing; a retry is consumed only if there is a chain.
     std::vector<ChainStage> chain = findChain(makeSelectionContext());
     if (!chain.empty() && tryConsumeServiceRetry(m_context, m_request.service->name)) {
         startOnChain(std::move(chain));
--- a/src/relay/table_watcher.cpp
+++ b/src/relay/table_watcher.cpp
@@ -202,8 +202,8 @@
 {
     isWaitingForPeer = false;
     ++context.metrics.storeCalls;
-    // A recovered store answers a watch only at the next change, but its recovery has to be noticed at once: for a limited time
-    // after it, removals are taken for rows that expired during the outage, and later ones must not be.
+    // A recovered store answers a watch only at the next change, but its recovery has to be noticed at once: for Registry's
+    // expiredEntryGrace after it, removals are taken for rows that expired during the outage, and later ones must not be.
     const milliseconds wait = failures > 0 ? milliseconds(0) : context.settings.storeWatch;
     HttpClientRequest request = isWatching ? context.adapter.watchRowsRequest(table, revision, wait) : context.adapter.readRowsRequest({table, readFrom, {}});
     request.timeout = isWatching && failures == 0 ? wait + watchMargin : readTimeout;
--- a/tests/relay_system.h
+++ b/tests/relay_system.h
@@ -45,6 +45,7 @@
     std::function<void(RelaySettings &)> tuneRelay; ///< changes the settings of each relay before its start
 };
 
+/// A table store, relays, engines and scripted targets on one event loop.
 class RelaySystem
 {
 public:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -38,7 +38,7 @@
 RELAYS = 3
 EVENTS = 20  # in a complete stream
 STOP_TIMEOUT = 3.0  # seconds from the stop signal until the relay ends by itself; also its setting stop-timeout
-RECOVERY = 20.0  # seconds after the last fault until all relays must serve again; a lease and the grace after an outage take 6
+RECOVERY = 20.0  # seconds after the last fault until all relays must serve again; a lease and the grace after an outage take 6 of them
 ANSWER_TIMEOUT = 6.0  # seconds that a caller waits for a response
 SECONDS = 8.0  # time during which a seed injects faults
 # Seeds that failed before, with the cause. Never removed or changed.
