--- a/bench/check_history_main.cpp
+++ b/bench/check_history_main.cpp
@@ -36,7 +36,7 @@
     }
     const std::vector<Violation> violations = checkHistory(lines);
     for (const Violation &violation : violations) {
-        std::cout << toString(violation.promise) << ": " << violation.text << ": " << violation.event << '\n';
+        std::cout << toString(violation.guarantee) << ": " << violation.text << ": " << violation.event << '\n';
     }
     std::cout << lines.size() << " events, " << violations.size() << " violations\n";
     return violations.empty() ? 0 : 1;
--- a/bench/history_checker.cpp
+++ b/bench/history_checker.cpp
@@ -13,22 +13,22 @@
 
 // [SECTION] Events
 
-const char *toString(Promise promise)
+const char *toString(Guarantee guarantee)
 {
-    switch (promise) {
-    case Promise::LayersOnceInOrder:
+    switch (guarantee) {
+    case Guarantee::LayersOnceInOrder:
         return "every layer once, in order";
-    case Promise::OwnWholeAnswer:
+    case Guarantee::OwnCompleteResponse:
         return "the whole answer to its own caller";
-    case Promise::NotRunIsTrue:
+    case Guarantee::NotRunIsReliable:
         return "not-run is true";
-    case Promise::AtMostOnce:
+    case Guarantee::AtMostOnce:
         return "at most once";
-    case Promise::NoWorkWhenLeaving:
+    case Guarantee::NoWorkWhenLeaving:
         return "no new work when leaving";
-    case Promise::GracefulStop:
+    case Guarantee::GracefulStop:
         return "a graceful stop cuts nothing";
-    case Promise::NewestConfiguration:
+    case Guarantee::NewestConfiguration:
         return "never an older configuration";
     }
     return "?";
@@ -38,12 +38,12 @@
 {
 
 /// One run being judged.
-struct Judge {
+struct ViolationCollector {
     std::vector<Violation> violations;
 
-    void violate(Promise promise, const std::string &text, const json &event)
+    void addViolation(Guarantee guarantee, const std::string &text, const json &event)
     {
-        violations.push_back({promise, text, event.dump()});
+        violations.push_back({guarantee, text, event.dump()});
     }
 };
 
@@ -68,7 +68,7 @@
 
 /// Each stage's applied positions, and each engine's, follow each other without gap or overlap; an engine may start a
 /// stream over, which it does at position 0.
-void checkLayers(const std::vector<json> &events, Judge &judge)
+void checkLayers(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> next;
     for (const json &event : events) {
@@ -77,41 +77,42 @@
         if (!isStage && !isEngine) {
             continue;
         }
-        const std::string who =
+        const std::string source =
             isStage ? text(event, "process") + "/" + std::to_string(number(event, "incarnation")) + "/" + std::to_string(number(event, "generation"))
                     : "engine " + text(event, "engine");
-        std::uint64_t &expected = next[who + "/" + text(event, isStage ? "request" : "stream")];
+        std::uint64_t &expected = next[source + "/" + text(event, isStage ? "request" : "stream")];
         const std::uint64_t position = number(event, "position");
-        const bool startsOver = position == 0 && isEngine;
-        if (position != expected && !startsOver) {
-            judge.violate(Promise::LayersOnceInOrder, "position " + std::to_string(position) + " where " + std::to_string(expected) + " is next", event);
+        const bool restarts = position == 0 && isEngine;
+        if (position != expected && !restarts) {
+            collector.addViolation(Guarantee::LayersOnceInOrder, "position " + std::to_string(position) + " where " + std::to_string(expected) + " is next",
+                                   event);
         }
         expected = position + number(event, "positions");
     }
 }
 
 /// Tokens of a request leave the entry once each, in order; a caller's whole answer is the expected one.
-void checkAnswers(const std::vector<json> &events, Judge &judge)
+void checkAnswers(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> nextToken;
     for (const json &event : events) {
         if (isKind(event, "token")) {
             std::uint64_t &expected = nextToken[text(event, "process") + "/" + text(event, "request")];
             if (number(event, "index") != expected) {
-                judge.violate(Promise::OwnWholeAnswer, "token " + std::to_string(number(event, "index")) + " where " + std::to_string(expected) + " is next",
-                              event);
+                collector.addViolation(Guarantee::OwnCompleteResponse,
+                                       "token " + std::to_string(number(event, "index")) + " where " + std::to_string(expected) + " is next", event);
             }
             expected = number(event, "index") + 1;
         }
         if (isKind(event, "caller-answer") && text(event, "text") != text(event, "expected")) {
-            judge.violate(Promise::OwnWholeAnswer, "not the answer to this request", event);
+            collector.addViolation(Guarantee::OwnCompleteResponse, "not the answer to this request", event);
         }
     }
 }
 
 // [SECTION] Calls
 
-void checkNotRun(const std::vector<json> &events, Judge &judge)
+void checkNotRun(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::set<std::string> ran;
     std::set<std::string> booked;
@@ -124,43 +125,43 @@
         }
     }
     // A reference may be sent again after a not-run, so that only what callers were told last and alone is judged there.
-    std::map<std::string, std::vector<const json *>> told;
+    std::map<std::string, std::vector<const json *>> outcomesByReference;
     for (const json &event : events) {
         const bool isNotRun = text(event, "outcome") == "not-run";
         if (isKind(event, "stream-ended") && isNotRun && ran.count(text(event, "request"))) {
-            judge.violate(Promise::NotRunIsTrue, "a stage had applied it", event);
+            collector.addViolation(Guarantee::NotRunIsReliable, "a stage had applied it", event);
         }
         if (isKind(event, "caller-outcome")) {
-            told[text(event, "reference")].push_back(&event);
+            outcomesByReference[text(event, "reference")].push_back(&event);
         }
     }
-    for (const auto &[reference, outcomes] : told) {
-        const bool isOnlyNotRun = std::all_of(outcomes.begin(), outcomes.end(), [](const json *event) {
+    for (const auto &[reference, outcomes] : outcomesByReference) {
+        const bool isAlwaysNotRun = std::all_of(outcomes.begin(), outcomes.end(), [](const json *event) {
             return text(*event, "outcome") == "not-run";
         });
-        if (isOnlyNotRun && booked.count(reference)) {
-            judge.violate(Promise::NotRunIsTrue, "the application had run it", *outcomes.back());
+        if (isAlwaysNotRun && booked.count(reference)) {
+            collector.addViolation(Guarantee::NotRunIsReliable, "the application had run it", *outcomes.back());
         }
     }
 }
 
-void checkAtMostOnce(const std::vector<json> &events, Judge &judge)
+void checkAtMostOnce(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, int> handedOver;
     std::map<std::string, int> booked;
     for (const json &event : events) {
         if (isKind(event, "handed-over") && number(event, "nonIdempotent") == 1 && ++handedOver[text(event, "request")] > 1) {
-            judge.violate(Promise::AtMostOnce, "handed over a second time", event);
+            collector.addViolation(Guarantee::AtMostOnce, "handed over a second time", event);
         }
         if (isKind(event, "booked") && ++booked[text(event, "reference")] > 1) {
-            judge.violate(Promise::AtMostOnce, "booked a second time", event);
+            collector.addViolation(Guarantee::AtMostOnce, "booked a second time", event);
         }
     }
 }
 
 // [SECTION] Leaving and stopping
 
-void checkLeaving(const std::vector<json> &events, Judge &judge)
+void checkLeaving(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> leftAt;
     for (const json &event : events) {
@@ -175,23 +176,23 @@
         }
         const auto left = leftAt.find(text(event, "process"));
         if (left != leftAt.end() && number(event, "at") > left->second + leavingGraceMicros) {
-            judge.violate(Promise::NoWorkWhenLeaving, "new work after it was asked to leave", event);
+            collector.addViolation(Guarantee::NoWorkWhenLeaving, "new work after it was asked to leave", event);
         }
     }
 }
 
-void checkStops(const std::vector<json> &events, Judge &judge)
+void checkStops(const std::vector<json> &events, ViolationCollector &collector)
 {
     for (const json &event : events) {
         if (isKind(event, "drained") && number(event, "open") > 0) {
-            judge.violate(Promise::GracefulStop, "ended with open requests", event);
+            collector.addViolation(Guarantee::GracefulStop, "ended with open requests", event);
         }
     }
 }
 
 // [SECTION] Configuration
 
-void checkConfiguration(const std::vector<json> &events, Judge &judge)
+void checkConfiguration(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> inForce;
     std::map<std::uint64_t, std::string> digests;
@@ -200,18 +201,18 @@
             continue;
         }
         const std::uint64_t version = number(event, "version");
-        std::uint64_t &before = inForce[text(event, "process") + "/" + std::to_string(number(event, "incarnation"))];
-        if (version <= before) {
-            judge.violate(Promise::NewestConfiguration, "version " + std::to_string(version) + " after " + std::to_string(before), event);
+        std::uint64_t &previousVersion = inForce[text(event, "process") + "/" + std::to_string(number(event, "incarnation"))];
+        if (version <= previousVersion) {
+            collector.addViolation(Guarantee::NewestConfiguration, "version " + std::to_string(version) + " after " + std::to_string(previousVersion), event);
         }
-        before = version;
+        previousVersion = version;
         const std::string digest = text(event, "digest");
         if (digest.empty()) {
             continue; // sidecars hold a part of it
         }
         const auto [known, isNew] = digests.emplace(version, digest);
         if (!isNew && known->second != digest) {
-            judge.violate(Promise::NewestConfiguration, "another file under the same version", event);
+            collector.addViolation(Guarantee::NewestConfiguration, "another file under the same version", event);
         }
     }
 }
@@ -228,15 +229,15 @@
             events.push_back(std::move(event));
         }
     }
-    Judge judge;
-    checkLayers(events, judge);
-    checkAnswers(events, judge);
-    checkNotRun(events, judge);
-    checkAtMostOnce(events, judge);
-    checkLeaving(events, judge);
-    checkStops(events, judge);
-    checkConfiguration(events, judge);
-    return std::move(judge.violations);
+    ViolationCollector collector;
+    checkLayers(events, collector);
+    checkAnswers(events, collector);
+    checkNotRun(events, collector);
+    checkAtMostOnce(events, collector);
+    checkLeaving(events, collector);
+    checkStops(events, collector);
+    checkConfiguration(events, collector);
+    return std::move(collector.violations);
 }
 
 } // namespace Parsleytrail
--- a/bench/history_checker.h
+++ b/bench/history_checker.h
@@ -17,22 +17,22 @@
 {
 
 /// The promises, as the brief lists them.
-enum class Promise {
-    LayersOnceInOrder,  ///< every layer runs exactly once for each token, in order
-    OwnWholeAnswer,     ///< a caller receives the whole answer to its own request
-    NotRunIsTrue,       ///< a request said not to be run was not run
-    AtMostOnce,         ///< a non-idempotent request runs at most once
-    NoWorkWhenLeaving,  ///< a leaving target receives no new work after a few seconds
-    GracefulStop,       ///< a graceful shutdown cuts off no request
-    NewestConfiguration ///< a configuration never reverts, and a version is one file for all
+enum class Guarantee {
+    LayersOnceInOrder,   ///< every layer runs exactly once for each token, in order
+    OwnCompleteResponse, ///< a caller receives the whole answer to its own request
+    NotRunIsReliable,    ///< a request said not to be run was not run
+    AtMostOnce,          ///< a non-idempotent request runs at most once
+    NoWorkWhenLeaving,   ///< a leaving target receives no new work after a few seconds
+    GracefulStop,        ///< a graceful shutdown cuts off no request
+    NewestConfiguration  ///< a configuration never reverts, and a version is one file for all
 };
-const char *toString(Promise promise);
+const char *toString(Guarantee guarantee);
 
 /// A broken promise.
 struct Violation {
-    Promise promise = Promise::LayersOnceInOrder; ///< which
-    std::string text;                             ///< what is wrong
-    std::string event;                            ///< the offending line
+    Guarantee guarantee = Guarantee::LayersOnceInOrder; ///< which
+    std::string text;                                   ///< what is wrong
+    std::string event;                                  ///< the offending line
 };
 
 constexpr std::int64_t leavingGraceMicros = 3000000; ///< new work may still come for this long
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -58,22 +58,22 @@
 
 /// Results of a run.
 struct Totals {
-    std::uint64_t sent = 0;     ///< requests
-    std::uint64_t answered = 0; ///< whole and right
-    std::uint64_t wrong = 0;    ///< whole, and not the reference answer
-    std::uint64_t cut = 0;      ///< ended without [DONE]
-    std::uint64_t refused = 0;  ///< another status than 200
-    std::uint64_t tokens = 0;   ///< events with text
-    std::uint64_t good = 0;     ///< answered, with the first token and the mean gap in time
+    std::uint64_t sent = 0;          ///< requests
+    std::uint64_t answered = 0;      ///< whole and right
+    std::uint64_t wrong = 0;         ///< whole, and not the reference answer
+    std::uint64_t truncated = 0;     ///< ended without [DONE]
+    std::uint64_t refused = 0;       ///< another status than 200
+    std::uint64_t tokens = 0;        ///< events with text
+    std::uint64_t withinTargets = 0; ///< answered, with the first token and the mean gap in time
     TimeHistogram firstToken;
     TimeHistogram betweenTokens;
-    TimeHistogram whole;
+    TimeHistogram completeResponse;
 };
 
 /// One request on its way.
-struct Question {
+struct PendingRequest {
     std::string prompt;                             ///< content of the only message
-    std::string rest;                               ///< bytes not read yet
+    std::string unparsed;                           ///< bytes not read yet
     std::string text;                               ///< answer so far
     int status = 0;                                 ///< of the answer
     bool hasDone = false;                           ///< [DONE] came
@@ -97,8 +97,8 @@
         , m_client(loop)
         , m_entries(std::move(entries))
         , m_random(absl::GetFlag(FLAGS_seed))
-        , m_arrival(loop, [this] {
-            arrive();
+        , m_arrivalTimer(loop, [this] {
+            sendNextArrival();
         })
     {
     }
@@ -109,17 +109,17 @@
 private:
     std::string makePrompt();
     void send();
-    void arrive();
-    void take(Question &question, std::string_view bytes);
-    void finish(Question &question);
+    void sendNextArrival();
+    void handleData(PendingRequest &pending, std::string_view bytes);
+    void finish(PendingRequest &pending);
 
     EventLoop &m_loop;
     HttpClient m_client;
     std::vector<Address> m_entries;
     std::mt19937_64 m_random;
-    Timer m_arrival;
+    Timer m_arrivalTimer;
     void sendDirect();
-    void stepDirect(const std::shared_ptr<Question> &question, std::uint32_t position, std::uint32_t token);
+    void stepDirect(const std::shared_ptr<PendingRequest> &pending, std::uint32_t position, std::uint32_t token);
 
     Totals m_totals;
     std::uint64_t m_open = 0;
@@ -140,15 +140,15 @@
     return prompt;
 }
 
-void Load::take(Question &question, std::string_view bytes)
+void Load::handleData(PendingRequest &pending, std::string_view bytes)
 {
-    question.rest.append(bytes);
+    pending.unparsed.append(bytes);
     std::size_t end = 0;
-    while ((end = question.rest.find("\n\n")) != std::string::npos) {
-        const std::string event = question.rest.substr(0, end);
-        question.rest.erase(0, end + 2);
+    while ((end = pending.unparsed.find("\n\n")) != std::string::npos) {
+        const std::string event = pending.unparsed.substr(0, end);
+        pending.unparsed.erase(0, end + 2);
         if (event == "data: [DONE]") {
-            question.hasDone = true;
+            pending.hasDone = true;
             continue;
         }
         const json data = json::parse(event.substr(std::min<std::size_t>(event.size(), 6)), nullptr, false);
@@ -159,53 +159,53 @@
         if (content.empty()) {
             continue;
         }
-        const double seconds = secondsSince(question.tokens == 0 ? question.sentAt : question.lastAt);
-        (question.tokens == 0 ? m_totals.firstToken : m_totals.betweenTokens).record(seconds);
-        question.firstTokenSeconds = question.tokens == 0 ? seconds : question.firstTokenSeconds;
-        question.lastAt = std::chrono::steady_clock::now();
-        question.text += content;
-        ++question.tokens;
+        const double seconds = secondsSince(pending.tokens == 0 ? pending.sentAt : pending.lastAt);
+        (pending.tokens == 0 ? m_totals.firstToken : m_totals.betweenTokens).record(seconds);
+        pending.firstTokenSeconds = pending.tokens == 0 ? seconds : pending.firstTokenSeconds;
+        pending.lastAt = std::chrono::steady_clock::now();
+        pending.text += content;
+        ++pending.tokens;
     }
 }
 
-void Load::finish(Question &question)
+void Load::finish(PendingRequest &pending)
 {
     --m_open;
-    m_totals.tokens += question.tokens;
-    if (question.status != 200) {
+    m_totals.tokens += pending.tokens;
+    if (pending.status != 200) {
         ++m_totals.refused;
-    } else if (!question.hasDone) {
-        ++m_totals.cut;
+    } else if (!pending.hasDone) {
+        ++m_totals.truncated;
     } else {
         const StandIn::Weights weights{absl::GetFlag(FLAGS_model), absl::GetFlag(FLAGS_model_version), absl::GetFlag(FLAGS_adapter)};
         const auto reference =
-            StandIn::referenceAnswer("user: " + question.prompt + "\n", weights, absl::GetFlag(FLAGS_layers), absl::GetFlag(FLAGS_max_tokens));
-        ++(reference.text == question.text ? m_totals.answered : m_totals.wrong);
-        const double gaps = std::max<double>(question.tokens, 2) - 1;
-        const double meanGap = (std::chrono::duration<double>(question.lastAt - question.sentAt).count() - question.firstTokenSeconds) / gaps;
-        const bool isInTime = question.firstTokenSeconds <= absl::GetFlag(FLAGS_first_token_ms) / 1000 && meanGap <= absl::GetFlag(FLAGS_gap_ms) / 1000;
-        m_totals.good += reference.text == question.text && isInTime ? 1 : 0;
-        m_totals.whole.record(secondsSince(question.sentAt));
+            StandIn::referenceAnswer("user: " + pending.prompt + "\n", weights, absl::GetFlag(FLAGS_layers), absl::GetFlag(FLAGS_max_tokens));
+        ++(reference.text == pending.text ? m_totals.answered : m_totals.wrong);
+        const double gaps = std::max<double>(pending.tokens, 2) - 1;
+        const double meanGap = (std::chrono::duration<double>(pending.lastAt - pending.sentAt).count() - pending.firstTokenSeconds) / gaps;
+        const bool isInTime = pending.firstTokenSeconds <= absl::GetFlag(FLAGS_first_token_ms) / 1000 && meanGap <= absl::GetFlag(FLAGS_gap_ms) / 1000;
+        m_totals.withinTargets += reference.text == pending.text && isInTime ? 1 : 0;
+        m_totals.completeResponse.record(secondsSince(pending.sentAt));
     }
     const bool isClosedLoop = absl::GetFlag(FLAGS_streams) > 0;
-    const bool isMoreWanted =
+    const bool hasMoreToSend =
         absl::GetFlag(FLAGS_requests) > 0 ? m_totals.sent < absl::GetFlag(FLAGS_requests) : secondsSince(m_startedAt) < absl::GetFlag(FLAGS_seconds);
-    if (isClosedLoop && isMoreWanted) {
+    if (isClosedLoop && hasMoreToSend) {
         send();
     }
 }
 
 /// One token of a stream at an engine without the router: the step that the first and only stage would make.
-void Load::stepDirect(const std::shared_ptr<Question> &question, std::uint32_t position, std::uint32_t token)
+void Load::stepDirect(const std::shared_ptr<PendingRequest> &pending, std::uint32_t position, std::uint32_t token)
 {
-    json item = {{"stream", std::to_string(reinterpret_cast<std::uintptr_t>(question.get()))},
+    json item = {{"stream", std::to_string(reinterpret_cast<std::uintptr_t>(pending.get()))},
                  {"position", position},
                  {"model", absl::GetFlag(FLAGS_model)},
                  {"version", absl::GetFlag(FLAGS_model_version)},
                  {"adapter", absl::GetFlag(FLAGS_adapter)}};
     if (position == 0) {
         item["reset"] = true;
-        item["prompt"] = "user: " + question->prompt + "\n";
+        item["prompt"] = "user: " + pending->prompt + "\n";
     } else {
         item["tokens"] = {token};
     }
@@ -213,35 +213,34 @@
     request.method = "POST";
     request.path = "/engine/v1/step";
     request.body = json{{"items", {item}}}.dump();
-    m_client.fetch(m_entries.front(), std::move(request), [this, question, position](const HttpResult &result) {
-        question->status = result.status;
+    m_client.fetch(m_entries.front(), std::move(request), [this, pending, position](const HttpResult &result) {
+        pending->status = result.status;
         const json answer = json::parse(result.body, nullptr, false);
         if (!result.isOk() || !answer.is_object() || !answer["items"][0].contains("tokens")) {
-            return finish(*question);
+            return finish(*pending);
         }
         const json &step = answer["items"][0];
         const json &last = step["tokens"].back();
-        (question->tokens == 0 ? m_totals.firstToken : m_totals.betweenTokens)
-            .record(secondsSince(question->tokens == 0 ? question->sentAt : question->lastAt));
-        question->lastAt = std::chrono::steady_clock::now();
-        question->text += last[1].get<std::string>();
-        ++question->tokens;
-        question->hasDone = last[2].get<bool>() || question->tokens >= absl::GetFlag(FLAGS_max_tokens);
-        if (question->hasDone) {
-            return finish(*question);
+        (pending->tokens == 0 ? m_totals.firstToken : m_totals.betweenTokens).record(secondsSince(pending->tokens == 0 ? pending->sentAt : pending->lastAt));
+        pending->lastAt = std::chrono::steady_clock::now();
+        pending->text += last[1].get<std::string>();
+        ++pending->tokens;
+        pending->hasDone = last[2].get<bool>() || pending->tokens >= absl::GetFlag(FLAGS_max_tokens);
+        if (pending->hasDone) {
+            return finish(*pending);
         }
-        stepDirect(question, position + step["positions"].get<std::uint32_t>(), last[0].get<std::uint32_t>());
+        stepDirect(pending, position + step["positions"].get<std::uint32_t>(), last[0].get<std::uint32_t>());
     });
 }
 
 void Load::sendDirect()
 {
-    const auto question = std::make_shared<Question>();
-    question->prompt = makePrompt();
-    question->sentAt = std::chrono::steady_clock::now();
+    const auto pending = std::make_shared<PendingRequest>();
+    pending->prompt = makePrompt();
+    pending->sentAt = std::chrono::steady_clock::now();
     ++m_totals.sent;
     ++m_open;
-    stepDirect(question, 0, 0);
+    stepDirect(pending, 0, 0);
 }
 
 void Load::send()
@@ -249,12 +248,12 @@
     if (!absl::GetFlag(FLAGS_direct).empty()) {
         return sendDirect();
     }
-    const auto question = std::make_shared<Question>();
-    question->prompt = makePrompt();
+    const auto pending = std::make_shared<PendingRequest>();
+    pending->prompt = makePrompt();
     const json body = {{"model", absl::GetFlag(FLAGS_service)},
                        {"stream", true},
                        {"max_tokens", absl::GetFlag(FLAGS_max_tokens)},
-                       {"messages", {{{"role", "user"}, {"content", question->prompt}}}}};
+                       {"messages", {{{"role", "user"}, {"content", pending->prompt}}}}};
     HttpClientRequest request;
     request.method = "POST";
     request.path = "/v1/chat/completions";
@@ -262,16 +261,16 @@
     request.body = body.dump();
     request.timeout = milliseconds(120000);
     request.maxBodyBytes = SIZE_MAX;
-    question->sentAt = std::chrono::steady_clock::now();
+    pending->sentAt = std::chrono::steady_clock::now();
     HttpStreamHandlers handlers;
-    handlers.onHead = [question](int status, const HttpHeaders &) {
-        question->status = status;
+    handlers.onHead = [pending](int status, const HttpHeaders &) {
+        pending->status = status;
     };
-    handlers.onData = [this, question](std::string_view bytes) {
-        take(*question, bytes);
+    handlers.onData = [this, pending](std::string_view bytes) {
+        handleData(*pending, bytes);
     };
-    handlers.onDone = [this, question](const std::optional<HttpFailure> &) {
-        finish(*question);
+    handlers.onDone = [this, pending](const std::optional<HttpFailure> &) {
+        finish(*pending);
     };
     const Address &entry = m_entries[m_totals.sent % m_entries.size()];
     ++m_totals.sent;
@@ -279,12 +278,12 @@
     m_client.stream(entry, std::move(request), std::move(handlers));
 }
 
-void Load::arrive()
+void Load::sendNextArrival()
 {
     send();
     if (secondsSince(m_startedAt) < absl::GetFlag(FLAGS_seconds)) {
         std::exponential_distribution<double> gaps(absl::GetFlag(FLAGS_rate));
-        m_arrival.start(microseconds(static_cast<std::int64_t>(gaps(m_random) * 1e6)));
+        m_arrivalTimer.start(microseconds(static_cast<std::int64_t>(gaps(m_random) * 1e6)));
     }
 }
 
@@ -297,10 +296,10 @@
             send();
         }
     } else {
-        arrive();
+        sendNextArrival();
     }
     const auto isOver = [&] {
-        return m_open == 0 && (streams > 0 || !m_arrival.isRunning());
+        return m_open == 0 && (streams > 0 || !m_arrivalTimer.isRunning());
     };
     m_loop.runUntil(isOver, milliseconds(600000));
     m_seconds = secondsSince(m_startedAt);
@@ -320,16 +319,16 @@
     line("sent", static_cast<double>(m_totals.sent), "requests");
     line("answered", static_cast<double>(m_totals.answered), "requests");
     line("wrong", static_cast<double>(m_totals.wrong), "requests");
-    line("cut", static_cast<double>(m_totals.cut), "requests");
+    line("cut", static_cast<double>(m_totals.truncated), "requests");
     line("refused", static_cast<double>(m_totals.refused), "requests");
     line("unfinished", static_cast<double>(m_open), "requests");
     line("answered_per_second", static_cast<double>(m_totals.answered) / m_seconds, "requests/s");
-    line("good", static_cast<double>(m_totals.good), "requests");
-    line("good_per_second", static_cast<double>(m_totals.good) / m_seconds, "requests/s");
+    line("good", static_cast<double>(m_totals.withinTargets), "requests");
+    line("good_per_second", static_cast<double>(m_totals.withinTargets) / m_seconds, "requests/s");
     line("tokens_per_second", static_cast<double>(m_totals.tokens) / m_seconds, "tokens/s");
     quantiles("first_token", m_totals.firstToken);
     quantiles("between_tokens", m_totals.betweenTokens);
-    quantiles("whole_answer", m_totals.whole);
+    quantiles("whole_answer", m_totals.completeResponse);
     return m_totals.wrong == 0 ? 0 : 1;
 }
 
--- a/stand-ins/application.cpp
+++ b/stand-ins/application.cpp
@@ -17,11 +17,11 @@
     std::unique_ptr<HttpServer> server;
     std::vector<Booking> bookings;
     ApplicationCrash crash = ApplicationCrash::None;
-    milliseconds slow{0};
+    milliseconds responseDelay{0};
     std::list<std::unique_ptr<Timer>> timers;
 
     void handle(const ExchangePtr &exchange);
-    void run(const ExchangePtr &exchange);
+    void route(const ExchangePtr &exchange);
     void book(const ExchangePtr &exchange);
     void list(const ExchangePtr &exchange) const;
     void cancel(const ExchangePtr &exchange, std::string_view number);
@@ -77,11 +77,11 @@
     }
     const std::string when = body.value("crash", "none");
     crash = when == "before" ? ApplicationCrash::Before : when == "after" ? ApplicationCrash::After : ApplicationCrash::None;
-    slow = milliseconds(body.value("slow-ms", std::int64_t{0}));
+    responseDelay = milliseconds(body.value("slow-ms", std::int64_t{0}));
     answer(exchange, 200, json::object());
 }
 
-void Application::Private::run(const ExchangePtr &exchange)
+void Application::Private::route(const ExchangePtr &exchange)
 {
     const HttpRequest &request = exchange->request();
     std::string_view path = request.path;
@@ -119,13 +119,13 @@
     if (crash == ApplicationCrash::Before) {
         return exchange->abort();
     }
-    if (slow.count() == 0) {
-        return run(exchange);
+    if (responseDelay.count() == 0) {
+        return route(exchange);
     }
     auto timer = std::make_unique<Timer>(loop, [this, exchange] {
-        run(exchange);
+        route(exchange);
     });
-    timer->start(slow);
+    timer->start(responseDelay);
     timers.push_back(std::move(timer));
 }
 
@@ -156,9 +156,9 @@
     d->crash = crash;
 }
 
-void Application::setSlow(milliseconds delay)
+void Application::setResponseDelay(milliseconds delay)
 {
-    d->slow = delay;
+    d->responseDelay = delay;
 }
 
 } // namespace Parsleytrail::StandIn
--- a/stand-ins/application.h
+++ b/stand-ins/application.h
@@ -41,7 +41,7 @@
     /// Breaks the connection of calls before or after running them.
     void setCrash(ApplicationCrash crash);
     /// Answers after this time.
-    void setSlow(milliseconds delay);
+    void setResponseDelay(milliseconds delay);
 
 private:
     struct Private;
--- a/stand-ins/chain_engines.cpp
+++ b/stand-ins/chain_engines.cpp
@@ -18,7 +18,7 @@
 
 // [SECTION] State
 
-struct EnginePart {
+struct EngineStage {
     std::string address;
     LayerRange layers;
 };
@@ -30,11 +30,11 @@
     ChainEngine *engine = nullptr;
     ConnectionPtr connection;
     std::string id;
-    std::vector<EnginePart> chain;
+    std::vector<EngineStage> chain;
     int next = 1; ///< id of the next event
-    std::unique_ptr<Timer> tick;
+    std::unique_ptr<Timer> eventTimer;
     TimePoint stalledAt{};
-    std::string waitsFor; ///< address of the engine that does not answer
+    std::string unavailableEngine; ///< address of the engine that does not answer
 };
 
 struct ChainEngine {
@@ -43,16 +43,16 @@
     std::unique_ptr<Listener> listener;
     std::set<ConnectionPtr> connections;
     LayerRange layers;
-    LayerRange loading;
-    std::unique_ptr<Timer> loaded;
-    std::uint64_t orders = 0;
+    LayerRange loadingLayers;
+    std::unique_ptr<Timer> loadTimer;
+    std::uint64_t orderCount = 0;
     bool isBusy = false;
-    bool isSilent = false;
+    bool isUnresponsive = false;
     bool isDead = false;
-    bool refusesParts = false;
+    bool refusesNewStreams = false;
     bool isAlive() const
     {
-        return !isSilent && !isDead;
+        return !isUnresponsive && !isDead;
     }
 };
 
@@ -67,21 +67,21 @@
     ChainEnginesOptions options;
     std::map<std::string, std::unique_ptr<ChainEngine>> engines;
     std::set<std::shared_ptr<EngineStream>> streams;
-    bool losesOrders = false;
-    int begun = 0;
-    int moved = 0;
-    int placed = 0;
-    int refused = 0;
-    int badChains = 0;
-
-    ChainEngine *at(const std::string &address);
-    std::vector<EnginePart> parseChain(std::string_view text);
-    bool isWhole(const std::vector<EnginePart> &chain) const;
-    std::string missingPart(const std::vector<EnginePart> &chain);
-    void take(ChainEngine &engine, const ConnectionPtr &connection);
+    bool dropsOrderResponses = false;
+    int startedStreams = 0;
+    int movedStreams = 0;
+    int acceptedPlacements = 0;
+    int refusedPlacements = 0;
+    int invalidChains = 0;
+
+    ChainEngine *engineAt(const std::string &address);
+    std::vector<EngineStage> parseChain(std::string_view text);
+    bool coversAllLayers(const std::vector<EngineStage> &chain) const;
+    std::string findUnavailableEngine(const std::vector<EngineStage> &chain);
+    void handleInput(ChainEngine &engine, const ConnectionPtr &connection);
     void answer(const ConnectionPtr &connection, int status, const std::string &body, const std::string &fields = {});
     void beginStream(ChainEngine &engine, const ConnectionPtr &connection, const HttpHead &head);
-    void makeEvent(const std::shared_ptr<EngineStream> &stream);
+    void sendEvent(const std::shared_ptr<EngineStream> &stream);
     void order(ChainEngine &engine, const ConnectionPtr &connection, const Json &body);
     void place(ChainEngine &engine, const ConnectionPtr &connection, const Json &body);
     void move(ChainEngine &engine, const ConnectionPtr &connection, const Json &body);
@@ -89,7 +89,7 @@
     void dropStreams(const ConnectionPtr &connection);
 };
 
-ChainEngine *ChainEngines::Private::at(const std::string &address)
+ChainEngine *ChainEngines::Private::engineAt(const std::string &address)
 {
     for (auto &[id, engine] : engines) {
         if (engine->address == address) {
@@ -99,40 +99,40 @@
     return nullptr;
 }
 
-std::vector<EnginePart> ChainEngines::Private::parseChain(std::string_view text)
+std::vector<EngineStage> ChainEngines::Private::parseChain(std::string_view text)
 {
-    std::vector<EnginePart> chain;
+    std::vector<EngineStage> chain;
     for (const std::string &word : splitList(text, ',')) {
         const std::size_t equals = word.find('=');
         const std::size_t dash = word.find('-', equals);
-        EnginePart part;
-        part.address = word.substr(0, equals);
-        parseNumber(std::string_view(word).substr(equals + 1, dash - equals - 1), part.layers.from);
-        parseNumber(std::string_view(word).substr(dash + 1), part.layers.to);
-        chain.push_back(part);
+        EngineStage stage;
+        stage.address = word.substr(0, equals);
+        parseNumber(std::string_view(word).substr(equals + 1, dash - equals - 1), stage.layers.from);
+        parseNumber(std::string_view(word).substr(dash + 1), stage.layers.to);
+        chain.push_back(stage);
     }
     return chain;
 }
 
-bool ChainEngines::Private::isWhole(const std::vector<EnginePart> &chain) const
+bool ChainEngines::Private::coversAllLayers(const std::vector<EngineStage> &chain) const
 {
     int next = 0;
-    for (const EnginePart &part : chain) {
-        if (part.layers.from != next || part.layers.count() <= 0) {
+    for (const EngineStage &stage : chain) {
+        if (stage.layers.from != next || stage.layers.count() <= 0) {
             return false;
         }
-        next = part.layers.to;
+        next = stage.layers.to;
     }
     return next == options.layers;
 }
 
 /// Address of the first engine of the chain that can't serve its part; empty if all can.
-std::string ChainEngines::Private::missingPart(const std::vector<EnginePart> &chain)
+std::string ChainEngines::Private::findUnavailableEngine(const std::vector<EngineStage> &chain)
 {
-    for (const EnginePart &part : chain) {
-        const ChainEngine *engine = at(part.address);
-        if (!engine || !engine->isAlive() || !engine->layers.contains(part.layers)) {
-            return part.address;
+    for (const EngineStage &stage : chain) {
+        const ChainEngine *engine = engineAt(stage.address);
+        if (!engine || !engine->isAlive() || !engine->layers.contains(stage.layers)) {
+            return stage.address;
         }
     }
     return {};
@@ -152,34 +152,34 @@
     stream->connection = connection;
     stream->id = std::string(head.find("X-Attempt-Id"));
     stream->chain = parseChain(head.find("X-Hop-Count"));
-    std::string missing = missingPart(stream->chain);
-    for (const EnginePart &part : stream->chain) {
-        missing = missing.empty() && at(part.address)->refusesParts ? part.address : missing;
+    std::string unavailable = findUnavailableEngine(stream->chain);
+    for (const EngineStage &stage : stream->chain) {
+        unavailable = unavailable.empty() && engineAt(stage.address)->refusesNewStreams ? stage.address : unavailable;
     }
-    if (!missing.empty()) {
-        return answer(connection, 503, {}, "X-Not-Executed: 1\r\nAt-Server: " + missing + "\r\n");
+    if (!unavailable.empty()) {
+        return answer(connection, 503, {}, "X-Not-Executed: 1\r\nAt-Server: " + unavailable + "\r\n");
     }
-    badChains += isWhole(stream->chain) ? 0 : 1;
+    invalidChains += coversAllLayers(stream->chain) ? 0 : 1;
     int last = 0;
     parseNumber(head.find("Last-Event-Id"), last);
     stream->next = last + 1;
-    ++begun;
+    ++startedStreams;
     connection->write("HTTP/1.1 200 OK\r\nX-Attempt-Id: " + stream->id + "\r\nX-Response-Seal: seal-" + engine.id
                       + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
-    stream->tick = std::make_unique<Timer>(loop, [this, weak = std::weak_ptr(stream)] {
+    stream->eventTimer = std::make_unique<Timer>(loop, [this, weak = std::weak_ptr(stream)] {
         if (const auto self = weak.lock()) {
-            makeEvent(self);
+            sendEvent(self);
         }
     });
-    stream->tick->startRepeating(options.gap);
+    stream->eventTimer->startRepeating(options.eventInterval);
     streams.insert(stream);
 }
 
-void ChainEngines::Private::makeEvent(const std::shared_ptr<EngineStream> &stream)
+void ChainEngines::Private::sendEvent(const std::shared_ptr<EngineStream> &stream)
 {
-    stream->waitsFor = missingPart(stream->chain);
+    stream->unavailableEngine = findUnavailableEngine(stream->chain);
     const TimePoint now = std::chrono::steady_clock::now();
-    if (!stream->waitsFor.empty()) {
+    if (!stream->unavailableEngine.empty()) {
         stream->stalledAt = stream->stalledAt == TimePoint() ? now : stream->stalledAt;
         if (now - stream->stalledAt >= options.stallTimeout) {
             stream->connection->close();
@@ -210,32 +210,32 @@
 {
     Json stalled = Json::array();
     for (const auto &stream : streams) {
-        if (stream->engine == &engine && !stream->waitsFor.empty()) {
-            stalled.push_back({{"id", stream->id}, {"address", stream->waitsFor}});
+        if (stream->engine == &engine && !stream->unavailableEngine.empty()) {
+            stalled.push_back({{"id", stream->id}, {"address", stream->unavailableEngine}});
         }
     }
     const Json body = {
-        {"busy", engine.isBusy}, {"seqNo", engine.orders}, {"layers", {{"from", engine.layers.from}, {"to", engine.layers.to}}}, {"stalled", stalled}};
+        {"busy", engine.isBusy}, {"seqNo", engine.orderCount}, {"layers", {{"from", engine.layers.from}, {"to", engine.layers.to}}}, {"stalled", stalled}};
     answer(connection, 200, body.dump());
 }
 
 void ChainEngines::Private::place(ChainEngine &engine, const ConnectionPtr &connection, const Json &body)
 {
-    const bool isExpected = body.value("expectedRevision", engine.orders) == engine.orders;
+    const bool isExpected = body.value("expectedRevision", engine.orderCount) == engine.orderCount;
     if (!isExpected || engine.isBusy) {
-        ++refused;
+        ++refusedPlacements;
         return answer(connection, 409, {});
     }
-    ++placed;
-    ++engine.orders;
+    ++acceptedPlacements;
+    ++engine.orderCount;
     engine.isBusy = true;
-    engine.loading = {body.at("from"), body.at("to")};
-    engine.loaded = std::make_unique<Timer>(loop, [&engine] {
+    engine.loadingLayers = {body.at("from"), body.at("to")};
+    engine.loadTimer = std::make_unique<Timer>(loop, [&engine] {
         engine.isBusy = false;
-        engine.layers = engine.loading;
+        engine.layers = engine.loadingLayers;
     });
-    engine.loaded->start(options.load);
-    if (!losesOrders) {
+    engine.loadTimer->start(options.loadTime);
+    if (!dropsOrderResponses) {
         answer(connection, 202, {});
     }
 }
@@ -246,19 +246,19 @@
         if (stream->engine != &engine || stream->id != body.at("id")) {
             continue;
         }
-        const std::vector<EnginePart> chain = parseChain(body.at("path").get<std::string>());
-        if (!missingPart(chain).empty()) {
+        const std::vector<EngineStage> chain = parseChain(body.at("path").get<std::string>());
+        if (!findUnavailableEngine(chain).empty()) {
             return answer(connection, 409, {});
         }
-        badChains += isWhole(chain) ? 0 : 1;
+        invalidChains += coversAllLayers(chain) ? 0 : 1;
         stream->chain = chain;
-        ++moved;
+        ++movedStreams;
         return answer(connection, 200, {});
     }
     answer(connection, 404, {});
 }
 
-void ChainEngines::Private::take(ChainEngine &engine, const ConnectionPtr &connection)
+void ChainEngines::Private::handleInput(ChainEngine &engine, const ConnectionPtr &connection)
 {
     if (!engine.isAlive()) {
         return;
@@ -305,37 +305,37 @@
 Address ChainEngines::add(const std::string &id, const Address &registered)
 {
     auto engine = std::make_unique<ChainEngine>();
-    ChainEngine &made = *engine;
-    made.id = id;
-    made.listener = std::make_unique<Listener>(d->loop, [this, &made](int socket) {
+    ChainEngine &added = *engine;
+    added.id = id;
+    added.listener = std::make_unique<Listener>(d->loop, [this, &added](int socket) {
         const ConnectionPtr connection = Connection::adopt(d->loop, socket);
-        made.connections.insert(connection);
+        added.connections.insert(connection);
         Connection::Handlers handlers;
-        handlers.onInput = [this, &made, raw = connection.get()] {
-            d->take(made, raw->shared_from_this());
+        handlers.onInput = [this, &added, raw = connection.get()] {
+            d->handleInput(added, raw->shared_from_this());
         };
-        handlers.onEnd = [this, &made, raw = connection.get()](ConnectionEnd) {
+        handlers.onEnd = [this, &added, raw = connection.get()](ConnectionEnd) {
             const ConnectionPtr self = raw->shared_from_this();
             d->dropStreams(self);
-            made.connections.erase(self);
+            added.connections.erase(self);
         };
         connection->setHandlers(std::move(handlers));
     });
     Error error;
     runCatching(
-        [&made] {
-            return made.listener->listen({"127.0.0.1", 0});
+        [&added] {
+            return added.listener->listen({"127.0.0.1", 0});
         },
         error);
-    const Address address{"127.0.0.1", made.listener->port()};
-    made.address = (registered.port == 0 ? address : registered).toString();
+    const Address address{"127.0.0.1", added.listener->port()};
+    added.address = (registered.port == 0 ? address : registered).toString();
     d->engines[id] = std::move(engine);
     return address;
 }
 
-void ChainEngines::silence(const std::string &id)
+void ChainEngines::makeUnresponsive(const std::string &id)
 {
-    d->engines.at(id)->isSilent = true;
+    d->engines.at(id)->isUnresponsive = true;
 }
 
 void ChainEngines::crash(const std::string &id)
@@ -349,9 +349,9 @@
     }
 }
 
-void ChainEngines::refuseParts(const std::string &id)
+void ChainEngines::refuseNewStreams(const std::string &id)
 {
-    d->engines.at(id)->refusesParts = true;
+    d->engines.at(id)->refusesNewStreams = true;
 }
 
 void ChainEngines::cutStreams(const std::string &id)
@@ -368,9 +368,9 @@
     }
 }
 
-void ChainEngines::loseOrders(bool loses)
+void ChainEngines::dropOrderResponses(bool drops)
 {
-    d->losesOrders = loses;
+    d->dropsOrderResponses = drops;
 }
 
 LayerRange ChainEngines::layers(const std::string &id) const
@@ -383,34 +383,34 @@
     d->engines.at(id)->layers = layers;
 }
 
-int ChainEngines::begun() const
+int ChainEngines::startedStreams() const
 {
-    return d->begun;
+    return d->startedStreams;
 }
 
-int ChainEngines::open() const
+int ChainEngines::openStreams() const
 {
     return static_cast<int>(d->streams.size());
 }
 
-int ChainEngines::moved() const
+int ChainEngines::movedStreams() const
 {
-    return d->moved;
+    return d->movedStreams;
 }
 
-int ChainEngines::placed() const
+int ChainEngines::acceptedPlacements() const
 {
-    return d->placed;
+    return d->acceptedPlacements;
 }
 
-int ChainEngines::refusedOrders() const
+int ChainEngines::refusedPlacements() const
 {
-    return d->refused;
+    return d->refusedPlacements;
 }
 
-int ChainEngines::badChains() const
+int ChainEngines::invalidChains() const
 {
-    return d->badChains;
+    return d->invalidChains;
 }
 
 } // namespace Parsleytrail::StandIn
--- a/stand-ins/chain_engines.h
+++ b/stand-ins/chain_engines.h
@@ -20,8 +20,8 @@
 struct ChainEnginesOptions {
     int layers = 8;                 ///< of the model
     int events = 20;                ///< of an answer
-    milliseconds gap{10};           ///< between events
-    milliseconds load{30};          ///< from an order to its end
+    milliseconds eventInterval{10}; ///< between events
+    milliseconds loadTime{30};      ///< from an order to its end
     milliseconds stallTimeout{600}; ///< a stream that waits for a dead engine is cut after this time
 };
 
@@ -35,28 +35,28 @@
     /// Starts an engine; returns its address. Chains name it by `registered` if that is given.
     Address add(const std::string &id, const Address &registered = {});
     /// It accepts connections and never answers, and streams through it stall.
-    void silence(const std::string &id);
+    void makeUnresponsive(const std::string &id);
     /// It closes all connections and takes no more.
     void crash(const std::string &id);
     /// It refuses new streams through it and goes on with those that it has.
-    void refuseParts(const std::string &id);
+    void refuseNewStreams(const std::string &id);
     /// Cuts the connections of all streams that entered the chain there, in the middle of an event.
     void cutStreams(const std::string &id);
     /// Orders get no answer, and are carried out all the same.
-    void loseOrders(bool loses);
+    void dropOrderResponses(bool drops);
 
     LayerRange layers(const std::string &id) const;
     void setLayers(const std::string &id, LayerRange layers);
     /// Streams begun, ended by their own end, and open.
-    int begun() const;
-    int open() const;
+    int startedStreams() const;
+    int openStreams() const;
     /// Orders to move a request that were carried out.
-    int moved() const;
+    int movedStreams() const;
     /// Orders to hold a range that were accepted, and refused because of their count.
-    int placed() const;
-    int refusedOrders() const;
+    int acceptedPlacements() const;
+    int refusedPlacements() const;
     /// Requests whose chain did not apply every layer once and in order.
-    int badChains() const;
+    int invalidChains() const;
 
 private:
     struct Private;
--- a/stand-ins/engine.cpp
+++ b/stand-ins/engine.cpp
@@ -47,9 +47,9 @@
     SystemClock clock;
     std::unique_ptr<HttpServer> server;
     Timer stepTimer;
-    std::deque<PendingStep> waiting;
-    std::vector<PendingStep> running;
-    std::vector<json> answers;
+    std::deque<PendingStep> queuedSteps;
+    std::vector<PendingStep> runningSteps;
+    std::vector<json> runningResults;
     std::unordered_map<std::string, LayerState> streams;
     std::list<std::uint64_t> prefixes; ///< newest first
     std::deque<CacheEvent> events;
@@ -61,11 +61,11 @@
     std::uint32_t kvUsed = 0;
     std::string crashText;
     bool isHanging = false;
-    double slowFactor = 1;
+    double slowdownFactor = 1;
     bool isDead = false;
-    json reported = json::object(); ///< load as of the last report
+    json lastReport = json::object(); ///< load as of the last report
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    TimePoint reportedAt{};
+    TimePoint lastReportAt{};
 
     Private(EventLoop &eventLoop, EngineOptions engineOptions)
         : loop(eventLoop)
@@ -82,13 +82,13 @@
     json runItem(const json &item, std::uint32_t &positions);
     json applyItem(LayerState &state, const json &item, const Weights &weights, std::vector<std::uint64_t> inputs, std::uint32_t promptLength,
                    std::uint32_t &positions);
-    bool rememberPrefix(const std::string &prompt);
-    void forget(const std::string &stream);
-    void order(const ExchangePtr &exchange, const json &body);
+    bool cachePrefix(const std::string &prompt);
+    void dropStream(const std::string &stream);
+    void handleOrder(const ExchangePtr &exchange, const json &body);
     void exportState(const ExchangePtr &exchange);
     void importState(const ExchangePtr &exchange, const json &body);
-    void report(const ExchangePtr &exchange);
-    void fault(const ExchangePtr &exchange, const json &body);
+    void reportStatus(const ExchangePtr &exchange);
+    void setFaults(const ExchangePtr &exchange, const json &body);
     void die();
 };
 
@@ -101,28 +101,28 @@
 
 void Engine::Private::startStep()
 {
-    if (!running.empty() || waiting.empty() || isDead) {
+    if (!runningSteps.empty() || queuedSteps.empty() || isDead) {
         return;
     }
     std::uint32_t items = 0;
     std::uint32_t positions = 0;
-    while (!waiting.empty() && items < options.maxBatch) {
-        running.push_back(std::move(waiting.front()));
-        waiting.pop_front();
+    while (!queuedSteps.empty() && items < options.maxBatch) {
+        runningSteps.push_back(std::move(queuedSteps.front()));
+        queuedSteps.pop_front();
         json results = json::array();
-        for (const json &item : running.back().items) {
-            const bool isDeadly = !crashText.empty() && item.value("prompt", "").find(crashText) != std::string::npos;
-            if (isDeadly) {
+        for (const json &item : runningSteps.back().items) {
+            const bool containsCrashText = !crashText.empty() && item.value("prompt", "").find(crashText) != std::string::npos;
+            if (containsCrashText) {
                 return die();
             }
             results.push_back(runItem(item, positions));
             ++items;
         }
-        answers.push_back(std::move(results));
+        runningResults.push_back(std::move(results));
     }
     const double layers = options.layerEnd - options.layerBegin;
-    const double micros = static_cast<double>(options.stepFixed.count()) + positions * layers * options.microsPerPositionLayer;
-    stepTimer.start(microseconds(static_cast<std::int64_t>(micros * slowFactor)));
+    const double micros = static_cast<double>(options.fixedStepTime.count()) + positions * layers * options.microsPerPositionLayer;
+    stepTimer.start(microseconds(static_cast<std::int64_t>(micros * slowdownFactor)));
 }
 
 void Engine::Private::finishStep()
@@ -131,16 +131,16 @@
         return;
     }
     std::vector<PendingStep> done;
-    done.swap(running);
+    done.swap(runningSteps);
     std::vector<json> results;
-    results.swap(answers);
+    results.swap(runningResults);
     for (std::size_t i = 0; i < done.size(); ++i) {
         answer(done[i].exchange, 200, {{"items", std::move(results[i])}});
     }
     startStep();
 }
 
-void Engine::Private::forget(const std::string &stream)
+void Engine::Private::dropStream(const std::string &stream)
 {
     const auto it = streams.find(stream);
     if (it != streams.end()) {
@@ -149,7 +149,7 @@
     }
 }
 
-bool Engine::Private::rememberPrefix(const std::string &prompt)
+bool Engine::Private::cachePrefix(const std::string &prompt)
 {
     const std::uint64_t hash = hash64(prompt);
     for (auto it = prefixes.begin(); it != prefixes.end(); ++it) {
@@ -178,7 +178,7 @@
         return errorItem(stream, "model not loaded");
     }
     if (item.value("reset", false)) {
-        forget(stream);
+        dropStream(stream);
         streams[stream] = makeLayers(options.layerBegin, options.layerEnd);
     }
     const auto state = streams.find(stream);
@@ -191,14 +191,14 @@
     }
     std::vector<std::uint64_t> inputs;
     std::uint32_t promptLength = item.value("promptLength", 0u);
-    std::uint32_t cached = 0;
+    std::uint32_t cachedPositions = 0;
     if (item.contains("prompt")) {
         const auto &prompt = item["prompt"].get_ref<const std::string &>();
         for (const std::uint32_t token : tokenize(prompt)) {
             inputs.push_back(embed(token, position + static_cast<std::uint32_t>(inputs.size())));
         }
         promptLength = static_cast<std::uint32_t>(inputs.size());
-        cached = rememberPrefix(prompt) ? promptLength : 0;
+        cachedPositions = cachePrefix(prompt) ? promptLength : 0;
     }
     if (item.contains("tokens")) {
         for (const std::uint32_t token : item["tokens"].get<std::vector<std::uint32_t>>()) {
@@ -213,7 +213,7 @@
     }
     const auto all = static_cast<std::uint32_t>(inputs.size());
     json result = applyItem(state->second, item, weights, std::move(inputs), promptLength, positions);
-    positions -= std::min(cached, all);
+    positions -= std::min(cachedPositions, all);
     return result;
 }
 
@@ -222,11 +222,11 @@
 {
     const std::string stream = item.value("stream", "");
     const std::uint32_t first = state.positions;
-    const bool givesTokens = options.layerEnd == options.modelLayers;
+    const bool producesTokens = options.layerEnd == options.modelLayers;
     json tokens = json::array();
     for (std::uint64_t &activation : inputs) {
         activation = applyLayers(state, weights, activation);
-        if (givesTokens && state.positions >= promptLength) {
+        if (producesTokens && state.positions >= promptLength) {
             const GeneratedToken token = pickToken(activation);
             tokens.push_back({token.token, token.text, token.isEnd});
         }
@@ -239,7 +239,7 @@
         records.push_back({options.id, stream, options.layerBegin, options.layerEnd, first, count});
     }
     json result = {{"stream", stream}, {"promptLength", promptLength}, {"positions", count}};
-    if (givesTokens) {
+    if (producesTokens) {
         result["tokens"] = std::move(tokens);
     } else {
         result["activations"] = std::move(inputs);
@@ -249,7 +249,7 @@
 
 // [SECTION] Orders and state
 
-void Engine::Private::order(const ExchangePtr &exchange, const json &body)
+void Engine::Private::handleOrder(const ExchangePtr &exchange, const json &body)
 {
     const std::uint64_t fencing = body.value("fencing", std::uint64_t{0});
     if (options.checksFencing && fencing < fencingFloor) {
@@ -292,22 +292,22 @@
         return answer(exchange, 409, {{"error", "other layers"}});
     }
     const std::string stream = body.value("stream", "");
-    forget(stream);
+    dropStream(stream);
     kvUsed += state.positions;
     streams[stream] = std::move(state);
     answer(exchange, 200, json::object());
 }
 
-void Engine::Private::report(const ExchangePtr &exchange)
+void Engine::Private::reportStatus(const ExchangePtr &exchange)
 {
     const TimePoint now = clock.now();
-    if (reportedAt == TimePoint{} || now - reportedAt >= options.reportLag) {
-        reportedAt = now;
-        reported = {{"streams", streams.size()},        {"waiting", waiting.size()},        {"kvUsed", kvUsed},
-                    {"kvCapacity", options.kvCapacity}, {"model", options.weights.model},   {"version", options.weights.version},
-                    {"adapters", options.adapters},     {"layerBegin", options.layerBegin}, {"layerEnd", options.layerEnd}};
+    if (lastReportAt == TimePoint{} || now - lastReportAt >= options.reportLag) {
+        lastReportAt = now;
+        lastReport = {{"streams", streams.size()},        {"waiting", queuedSteps.size()},    {"kvUsed", kvUsed},
+                      {"kvCapacity", options.kvCapacity}, {"model", options.weights.model},   {"version", options.weights.version},
+                      {"adapters", options.adapters},     {"layerBegin", options.layerBegin}, {"layerEnd", options.layerEnd}};
     }
-    answer(exchange, 200, reported);
+    answer(exchange, 200, lastReport);
 }
 
 // [SECTION] Faults
@@ -322,21 +322,21 @@
             return;
         }
         server.reset();
-        waiting.clear();
-        running.clear();
-        answers.clear();
+        queuedSteps.clear();
+        runningSteps.clear();
+        runningResults.clear();
         streams.clear();
         kvUsed = 0;
     });
 }
 
-void Engine::Private::fault(const ExchangePtr &exchange, const json &body)
+void Engine::Private::setFaults(const ExchangePtr &exchange, const json &body)
 {
     crashText = body.value("crash-on", crashText);
-    slowFactor = body.value("slow", slowFactor);
+    slowdownFactor = body.value("slow", slowdownFactor);
     const bool wasHanging = isHanging;
     isHanging = body.value("hang", isHanging);
-    if (wasHanging && !isHanging && !running.empty()) {
+    if (wasHanging && !isHanging && !runningSteps.empty()) {
         finishStep();
     }
     answer(exchange, 200, json::object());
@@ -355,26 +355,26 @@
     }
     try {
         if (request.path == "/engine/v1/step" && hasBody) {
-            waiting.push_back({exchange, body.value("items", json::array())});
+            queuedSteps.push_back({exchange, body.value("items", json::array())});
             return startStep();
         }
         if (request.path == "/engine/v1/cancel" && hasBody) {
             for (const std::string &stream : body.value("streams", std::vector<std::string>())) {
-                forget(stream);
+                dropStream(stream);
             }
             return answer(exchange, 200, json::object());
         }
         if (request.path == "/engine/v1/orders" && hasBody) {
-            return order(exchange, body);
+            return handleOrder(exchange, body);
         }
         if (request.path == "/engine/v1/faults" && hasBody) {
-            return fault(exchange, body);
+            return setFaults(exchange, body);
         }
         if (request.path == "/engine/v1/kv") {
             return hasBody ? importState(exchange, body) : exportState(exchange);
         }
         if (request.path == "/engine/v1/status") {
-            return report(exchange);
+            return reportStatus(exchange);
         }
         if (request.path == "/engine/v1/events") {
             const std::string since = queryParameter(request.query, "since").value_or("0");
@@ -444,14 +444,14 @@
 void Engine::setHanging(bool isHanging)
 {
     d->isHanging = isHanging;
-    if (!isHanging && !d->running.empty() && !d->stepTimer.isRunning()) {
+    if (!isHanging && !d->runningSteps.empty() && !d->stepTimer.isRunning()) {
         d->finishStep();
     }
 }
 
-void Engine::setSlow(double factor)
+void Engine::setSlowdownFactor(double factor)
 {
-    d->slowFactor = factor;
+    d->slowdownFactor = factor;
 }
 
 void Engine::die()
--- a/stand-ins/engine.h
+++ b/stand-ins/engine.h
@@ -32,7 +32,7 @@
     std::uint32_t layerBegin = 0;        ///< first layer held
     std::uint32_t layerEnd = 1;          ///< one past the last
     std::uint32_t modelLayers = 1;       ///< layers of the model; a range that ends here gives tokens
-    microseconds stepFixed{500};         ///< time of a step whatever is in it
+    microseconds fixedStepTime{500};     ///< time of a step whatever is in it
     double microsPerPositionLayer = 0.5; ///< time of one position in one layer
     std::uint32_t maxBatch = 256;        ///< items in a step
     std::uint32_t kvCapacity = 1 << 20;  ///< positions of all streams together
@@ -68,10 +68,10 @@
     bool isDead() const;
 
     // Faults by call, as POST /engine/v1/faults sets them
-    void crashOn(std::string text);  ///< dies in the first step that holds a prompt with this text
-    void setHanging(bool isHanging); ///< takes steps and never answers
-    void setSlow(double factor);     ///< steps take this many times as long
-    void die();                      ///< closes its port and forgets everything
+    void crashOn(std::string text);        ///< dies in the first step that holds a prompt with this text
+    void setHanging(bool isHanging);       ///< takes steps and never answers
+    void setSlowdownFactor(double factor); ///< steps take this many times as long
+    void die();                            ///< closes its port and forgets everything
 
 private:
     struct Private;
--- a/stand-ins/engine_main.cpp
+++ b/stand-ins/engine_main.cpp
@@ -60,14 +60,14 @@
             options.weights = {absl::GetFlag(FLAGS_model), absl::GetFlag(FLAGS_model_version), ""};
             options.adapters = absl::GetFlag(FLAGS_adapters);
             options.modelLayers = absl::GetFlag(FLAGS_layers);
-            options.stepFixed = microseconds(absl::GetFlag(FLAGS_step_micros));
+            options.fixedStepTime = microseconds(absl::GetFlag(FLAGS_step_micros));
             options.microsPerPositionLayer = absl::GetFlag(FLAGS_position_micros);
             options.kvCapacity = absl::GetFlag(FLAGS_kv_capacity);
             options.checksFencing = absl::GetFlag(FLAGS_checks_fencing);
-            BOOST_LEAF_AUTO(wanted, parseEngine(text, options));
+            BOOST_LEAF_AUTO(requested, parseEngine(text, options));
             engines.push_back(std::make_unique<StandIn::Engine>(loop, options));
-            BOOST_LEAF_AUTO(taken, engines.back()->listen(wanted));
-            std::cout << "listening " << options.id << " " << taken.toString() << std::endl;
+            BOOST_LEAF_AUTO(bound, engines.back()->listen(requested));
+            std::cout << "listening " << options.id << " " << bound.toString() << std::endl;
         }
         return {};
     };
--- a/stand-ins/listening_program.h
+++ b/stand-ins/listening_program.h
@@ -24,8 +24,8 @@
     const std::string address = parseListenAddress(argc, argv);
     EventLoop loop;
     Server server(loop);
-    return runListening(loop, address, [&server](const Address &wanted) {
-        return server.listen(wanted);
+    return runListening(loop, address, [&server](const Address &requested) {
+        return server.listen(requested);
     });
 }
 
--- a/stand-ins/platform.cpp
+++ b/stand-ins/platform.cpp
@@ -37,8 +37,8 @@
 };
 
 /// An instance with the time from which the list shows its state.
-struct Listed {
-    json shown;            ///< as the list shows it
+struct Member {
+    json visible;          ///< as the list shows it
     json actual;           ///< as it is
     TimePoint changedAt{}; ///< when `actual` changed
 };
@@ -60,7 +60,7 @@
     PlatformFaults faults;
     std::map<std::string, Table> tables;
     std::map<std::string, std::string> objects;
-    std::map<std::string, Listed> list;
+    std::map<std::string, Member> members;
     TokenBucket weightBudget{10, 10, 0, {}};
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
@@ -70,19 +70,19 @@
 
     void handle(const ExchangePtr &exchange);
     Answer route(const HttpRequest &request);
-    Answer tableCall(const HttpRequest &request, std::string_view rest);
-    Answer rowCall(const HttpRequest &request, Table &table, const std::string &key);
+    Answer handleTableRequest(const HttpRequest &request, std::string_view subpath);
+    Answer handleRowRequest(const HttpRequest &request, Table &table, const std::string &key);
     Answer scan(const HttpRequest &request, const Table &table) const;
     Answer transaction(const json &body);
-    Answer objectCall(const HttpRequest &request, const std::string &name);
-    Answer membershipCall(const HttpRequest &request, const std::string &id);
+    Answer handleObjectRequest(const HttpRequest &request, const std::string &name);
+    Answer handleMembershipRequest(const HttpRequest &request, const std::string &id);
     Answer setFaults(const json &body);
-    void later(milliseconds delay, std::function<void()> work);
+    void runAfter(milliseconds delay, std::function<void()> work);
 };
 
 // [SECTION] Tables
 
-static bool holds(const Table &table, const std::string &key, std::uint64_t version)
+static bool hasVersion(const Table &table, const std::string &key, std::uint64_t version)
 {
     const auto row = table.find(key);
     return (row == table.end() ? 0 : row->second.version) == version;
@@ -95,7 +95,7 @@
     return ++row.version;
 }
 
-Answer Platform::Private::rowCall(const HttpRequest &request, Table &table, const std::string &key)
+Answer Platform::Private::handleRowRequest(const HttpRequest &request, Table &table, const std::string &key)
 {
     if (request.method == "GET") {
         const auto row = table.find(key);
@@ -106,7 +106,7 @@
     }
     if (request.method == "DELETE") {
         const std::string version = queryParameter(request.query, "if-version").value_or("0");
-        if (!holds(table, key, std::strtoull(version.c_str(), nullptr, 10))) {
+        if (!hasVersion(table, key, std::strtoull(version.c_str(), nullptr, 10))) {
             return {409, {{"error", "other version"}}};
         }
         table.erase(key);
@@ -116,7 +116,7 @@
     if (!body.is_object()) {
         return {400, {{"error", "malformed JSON"}}};
     }
-    if (!holds(table, key, body.value("if-version", std::uint64_t{0}))) {
+    if (!hasVersion(table, key, body.value("if-version", std::uint64_t{0}))) {
         return {409, {{"error", "other version"}}};
     }
     return {200, {{"version", put(table, key, body.value("value", ""))}}, "", true};
@@ -134,21 +134,21 @@
     return {200, {{"rows", rows}}};
 }
 
-Answer Platform::Private::tableCall(const HttpRequest &request, std::string_view rest)
+Answer Platform::Private::handleTableRequest(const HttpRequest &request, std::string_view subpath)
 {
-    const std::size_t slash = rest.find('/');
+    const std::size_t slash = subpath.find('/');
     if (slash == std::string_view::npos) {
         return {404, {{"error", "no such path"}}};
     }
-    Table &table = tables[std::string(rest.substr(0, slash))];
-    std::string_view tail = rest.substr(slash);
-    if (tail == "/rows") {
+    Table &table = tables[std::string(subpath.substr(0, slash))];
+    std::string_view tablePath = subpath.substr(slash);
+    if (tablePath == "/rows") {
         return scan(request, table);
     }
-    if (!consumePrefix(tail, "/rows/")) {
+    if (!consumePrefix(tablePath, "/rows/")) {
         return {404, {{"error", "no such path"}}};
     }
-    return rowCall(request, table, decodePath(std::string(tail)));
+    return handleRowRequest(request, table, decodePath(std::string(tablePath)));
 }
 
 Answer Platform::Private::transaction(const json &body)
@@ -157,7 +157,7 @@
         return {400, {{"error", "malformed JSON"}}};
     }
     for (const json &write : body["writes"]) {
-        if (!holds(tables[write.value("table", "")], write.value("key", ""), write.value("if-version", std::uint64_t{0}))) {
+        if (!hasVersion(tables[write.value("table", "")], write.value("key", ""), write.value("if-version", std::uint64_t{0}))) {
             return {409, {{"error", "other version"}, {"key", write.value("key", "")}}};
         }
     }
@@ -169,15 +169,15 @@
 
 // [SECTION] Objects and list
 
-Answer Platform::Private::objectCall(const HttpRequest &request, const std::string &name)
+Answer Platform::Private::handleObjectRequest(const HttpRequest &request, const std::string &name)
 {
     const auto object = objects.find(name);
     if (request.method == "PUT") {
-        const bool wasThere = object != objects.end();
-        if (!wasThere) {
+        const bool existed = object != objects.end();
+        if (!existed) {
             objects[name] = request.body;
         }
-        return {wasThere ? 200 : 201, json::object(), "", true};
+        return {existed ? 200 : 201, json::object(), "", true};
     }
     if (object == objects.end()) {
         return {404, {{"error", "no such object"}}};
@@ -185,27 +185,27 @@
     return {200, json::object(), object->second};
 }
 
-Answer Platform::Private::membershipCall(const HttpRequest &request, const std::string &id)
+Answer Platform::Private::handleMembershipRequest(const HttpRequest &request, const std::string &id)
 {
     const TimePoint now = clock.now();
-    for (auto &[listedId, listed] : list) {
-        if (now - listed.changedAt >= faults.listLag) {
-            listed.shown = listed.actual;
+    for (auto &[memberId, member] : members) {
+        if (now - member.changedAt >= faults.membershipLag) {
+            member.visible = member.actual;
         }
     }
     if (request.method == "PUT" || request.method == "DELETE") {
-        Listed &listed = list[id];
-        listed.actual = request.method == "PUT" ? json::parse(request.body, nullptr, false) : json();
-        if (listed.actual.is_object()) {
-            listed.actual["id"] = id;
+        Member &member = members[id];
+        member.actual = request.method == "PUT" ? json::parse(request.body, nullptr, false) : json();
+        if (member.actual.is_object()) {
+            member.actual["id"] = id;
         }
-        listed.changedAt = now;
+        member.changedAt = now;
         return {200, json::object()};
     }
     json instances = json::array();
-    for (const auto &[listedId, listed] : list) {
-        if (listed.shown.is_object()) {
-            instances.push_back(listed.shown);
+    for (const auto &[memberId, member] : members) {
+        if (member.visible.is_object()) {
+            instances.push_back(member.visible);
         }
     }
     return {200, {{"instances", instances}}};
@@ -217,10 +217,10 @@
         return {400, {{"error", "malformed JSON"}}};
     }
     faults.isDown = body.value("down", faults.isDown);
-    faults.isSilent = body.value("silent", faults.isSilent);
-    faults.slow = milliseconds(body.value("slow-ms", faults.slow.count()));
-    faults.loseAnswers = body.value("lose-answers", faults.loseAnswers);
-    faults.listLag = milliseconds(body.value("list-lag-ms", faults.listLag.count()));
+    faults.isUnresponsive = body.value("silent", faults.isUnresponsive);
+    faults.responseDelay = milliseconds(body.value("slow-ms", faults.responseDelay.count()));
+    faults.unansweredWrites = body.value("lose-answers", faults.unansweredWrites);
+    faults.membershipLag = milliseconds(body.value("list-lag-ms", faults.membershipLag.count()));
     return {};
 }
 
@@ -228,17 +228,17 @@
 {
     std::string_view path = request.path;
     if (consumePrefix(path, "/tables/")) {
-        return tableCall(request, path);
+        return handleTableRequest(request, path);
     }
     if (path == "/transactions" && request.method == "POST") {
         return transaction(json::parse(request.body, nullptr, false));
     }
     if (consumePrefix(path, "/objects/")) {
-        return objectCall(request, decodePath(std::string(path)));
+        return handleObjectRequest(request, decodePath(std::string(path)));
     }
     if (consumePrefix(path, "/membership")) {
         consumePrefix(path, "/");
-        return membershipCall(request, decodePath(std::string(path)));
+        return handleMembershipRequest(request, decodePath(std::string(path)));
     }
     if (path.starts_with("/weights/")) {
         const bool isAllowed = tryConsume(weightBudget, clock.now());
@@ -249,7 +249,7 @@
 
 // [SECTION] Platform
 
-void Platform::Private::later(milliseconds delay, std::function<void()> work)
+void Platform::Private::runAfter(milliseconds delay, std::function<void()> work)
 {
     auto timer = std::make_unique<Timer>(loop, std::move(work));
     timer->start(delay);
@@ -273,7 +273,7 @@
         ++refused;
         return send({503, {{"error", "down"}}});
     }
-    if (faults.isSilent) {
+    if (faults.isUnresponsive) {
         ++refused;
         unanswered.push_back(exchange);
         return;
@@ -285,12 +285,12 @@
     } catch (const json::exception &error) {
         answer = {400, {{"error", error.what()}}};
     }
-    if (answer.isWrite && faults.loseAnswers > 0) {
-        --faults.loseAnswers;
+    if (answer.isWrite && faults.unansweredWrites > 0) {
+        --faults.unansweredWrites;
         return exchange->abort();
     }
-    if (faults.slow.count() > 0) {
-        return later(faults.slow, [send, answer] {
+    if (faults.responseDelay.count() > 0) {
+        return runAfter(faults.responseDelay, [send, answer] {
             send(answer);
         });
     }
@@ -332,11 +332,11 @@
 void Platform::listInstance(const std::string &id, const std::string &role, const Address &address, bool isLeaving)
 {
     json item = {{"id", id}, {"role", role}, {"host", address.host}, {"port", address.port}, {"state", isLeaving ? "leaving" : "live"}};
-    Listed &listed = d->list[id];
-    listed.actual = item;
-    listed.changedAt = d->clock.now();
-    if (d->faults.listLag.count() == 0) {
-        listed.shown = item;
+    Member &member = d->members[id];
+    member.actual = item;
+    member.changedAt = d->clock.now();
+    if (d->faults.membershipLag.count() == 0) {
+        member.visible = item;
     }
 }
 
--- a/stand-ins/platform.h
+++ b/stand-ins/platform.h
@@ -24,11 +24,11 @@
 
 /// Faults that can be set.
 struct PlatformFaults {
-    bool isDown = false;     ///< every call gets 503
-    bool isSilent = false;   ///< calls are taken and never answered
-    milliseconds slow{0};    ///< calls take this long
-    int loseAnswers = 0;     ///< so many writes take effect and are not answered
-    milliseconds listLag{0}; ///< the membership list shows a change after this long
+    bool isDown = false;           ///< every call gets 503
+    bool isUnresponsive = false;   ///< calls are taken and never answered
+    milliseconds responseDelay{0}; ///< calls take this long
+    int unansweredWrites = 0;      ///< so many writes take effect and are not answered
+    milliseconds membershipLag{0}; ///< the membership list shows a change after this long
 };
 
 /// The platform on the loop of its process.
--- a/stand-ins/process.cpp
+++ b/stand-ins/process.cpp
@@ -21,9 +21,9 @@
 {
     Error error;
     const auto start = [&]() -> Result<void> {
-        BOOST_LEAF_AUTO(wanted, parseAddress(address));
-        BOOST_LEAF_AUTO(taken, listen(wanted));
-        std::cout << "listening " << taken.toString() << std::endl;
+        BOOST_LEAF_AUTO(requested, parseAddress(address));
+        BOOST_LEAF_AUTO(bound, listen(requested));
+        std::cout << "listening " << bound.toString() << std::endl;
         return {};
     };
     if (!runCatching(start, error)) {
--- a/stand-ins/raw_target.cpp
+++ b/stand-ins/raw_target.cpp
@@ -31,15 +31,15 @@
     std::vector<RawRequest> requests;
     std::map<int, ConnectionPtr> connections;
     std::set<ConnectionPtr> closing;
-    std::vector<std::unique_ptr<Timer>> delays;
+    std::vector<std::unique_ptr<Timer>> delayTimers;
     int accepted = 0;
     int closed = 0;
 
-    void take(int number);
+    void handleInput(int number);
     void reply(int number, const RawReply &reply);
 };
 
-void RawTarget::Private::take(int number)
+void RawTarget::Private::handleInput(int number)
 {
     const auto it = connections.find(number);
     if (it == connections.end()) {
@@ -64,10 +64,10 @@
     if (answer.delay == milliseconds(0)) {
         return reply(number, answer);
     }
-    delays.push_back(std::make_unique<Timer>(loop, [this, number, answer] {
+    delayTimers.push_back(std::make_unique<Timer>(loop, [this, number, answer] {
         reply(number, answer);
     }));
-    delays.back()->start(answer.delay);
+    delayTimers.back()->start(answer.delay);
 }
 
 void RawTarget::Private::reply(int number, const RawReply &reply)
@@ -100,7 +100,7 @@
         d->connections[number] = connection;
         Connection::Handlers handlers;
         handlers.onInput = [this, number] {
-            d->take(number);
+            d->handleInput(number);
         };
         handlers.onEnd = [this, number](ConnectionEnd) {
             ++d->closed;
@@ -139,7 +139,7 @@
     return d->closed;
 }
 
-void RawTarget::sendUnasked(const std::string &bytes)
+void RawTarget::sendUnsolicited(const std::string &bytes)
 {
     for (const auto &[number, connection] : d->connections) {
         connection->write(bytes);
@@ -153,10 +153,10 @@
     }
 }
 
-std::string sealedAnswer(const RawRequest &request, const std::string &body, const std::string &statusLine, const std::string &moreFields)
+std::string sealedAnswer(const RawRequest &request, const std::string &body, const std::string &statusLine, const std::string &extraFields)
 {
     return statusLine + "\r\nX-Attempt-Id: " + request.field("X-Attempt-Id") + "\r\nX-Response-Seal: seal-1\r\nContent-Length: " + std::to_string(body.size())
-           + "\r\n" + moreFields + "\r\n" + body;
+           + "\r\n" + extraFields + "\r\n" + body;
 }
 
 } // namespace Parsleytrail::StandIn
--- a/stand-ins/raw_target.h
+++ b/stand-ins/raw_target.h
@@ -44,7 +44,7 @@
     /// Connections that the other side has closed.
     int closedConnections() const;
     /// Sends bytes that nobody asked for on all open connections.
-    void sendUnasked(const std::string &bytes);
+    void sendUnsolicited(const std::string &bytes);
     /// Closes all connections in order, as after an idle time.
     void closeConnections();
 
@@ -55,6 +55,6 @@
 
 /// A whole answer with id and seal.
 std::string sealedAnswer(const RawRequest &request, const std::string &body, const std::string &statusLine = "HTTP/1.1 200 OK",
-                         const std::string &moreFields = {});
+                         const std::string &extraFields = {});
 
 } // namespace Parsleytrail::StandIn
--- a/stand-ins/table_store.cpp
+++ b/stand-ins/table_store.cpp
@@ -25,7 +25,7 @@
     ExchangePtr exchange;
     std::string table;
     std::uint64_t after = 0;
-    std::unique_ptr<Timer> limit;
+    std::unique_ptr<Timer> timeoutTimer;
 };
 
 struct TableStore::Private {
@@ -50,7 +50,7 @@
     void transact(const ExchangePtr &exchange);
     Json changes(const std::string &table, std::uint64_t after) const;
     void write(const std::string &table, const std::string &key, const std::string &value, bool isDeleted);
-    void tellWatches();
+    void notifyWatches();
 };
 
 static Json rowJson(const std::string &table, const std::string &key, const StoredRow &row)
@@ -90,15 +90,15 @@
     return rows;
 }
 
-void TableStore::Private::tellWatches()
+void TableStore::Private::notifyWatches()
 {
     watches.remove_if([this](const OpenWatch &watch) {
         Json rows = changes(watch.table, watch.after);
-        const bool isDue = !rows.empty();
-        if (isDue) {
+        const bool hasChanges = !rows.empty();
+        if (hasChanges) {
             answer(watch.exchange, 200, {{"rows", std::move(rows)}});
         }
-        return isDue;
+        return hasChanges;
     });
 }
 
@@ -130,21 +130,21 @@
     std::int64_t waitMs = 0;
     parseNumber(queryParameter(query, "after").value_or("0"), after);
     parseNumber(queryParameter(query, "waitMs").value_or("0"), waitMs);
-    if (faults.hasNoHistory) {
+    if (faults.hasNoChangeHistory) {
         return answer(exchange, 410, Json::object());
     }
     Json rows = changes(table, after);
     if (!rows.empty()) {
         return answer(exchange, 200, {{"rows", std::move(rows)}});
     }
-    auto limit = std::make_unique<Timer>(loop, [this, exchange] {
+    auto timeoutTimer = std::make_unique<Timer>(loop, [this, exchange] {
         answer(exchange, 200, {{"rows", Json::array()}});
         watches.remove_if([&](const OpenWatch &watch) {
             return watch.exchange == exchange;
         });
     });
-    limit->start(milliseconds(waitMs));
-    watches.push_back({exchange, table, after, std::move(limit)});
+    timeoutTimer->start(milliseconds(waitMs));
+    watches.push_back({exchange, table, after, std::move(timeoutTimer)});
 }
 
 void TableStore::Private::transact(const ExchangePtr &exchange)
@@ -165,18 +165,18 @@
     for (const Json &removal : body.value("remove", Json::array())) {
         write(removal.at("table"), removal.at("key"), {}, true);
     }
-    if (faults.losesWrites) {
+    if (faults.leavesWritesUnanswered) {
         unanswered.push_back(exchange);
     } else {
         answer(exchange, 200, Json::object());
     }
-    tellWatches();
+    notifyWatches();
 }
 
 void TableStore::Private::handle(const ExchangePtr &exchange)
 {
     ++calls;
-    if (faults.isSilent) {
+    if (faults.isUnresponsive) {
         unanswered.push_back(exchange);
         return;
     }
@@ -218,13 +218,13 @@
 void TableStore::put(const std::string &table, const std::string &key, const std::string &value)
 {
     d->write(table, key, value, false);
-    d->tellWatches();
+    d->notifyWatches();
 }
 
 void TableStore::remove(const std::string &table, const std::string &key)
 {
     d->write(table, key, {}, true);
-    d->tellWatches();
+    d->notifyWatches();
 }
 
 std::string TableStore::value(const std::string &table, const std::string &key) const
--- a/stand-ins/table_store.h
+++ b/stand-ins/table_store.h
@@ -15,10 +15,10 @@
 
 /// Faults that can be set.
 struct TableStoreFaults {
-    bool isDown = false;       ///< every call gets 503
-    bool isSilent = false;     ///< calls are taken and never answered
-    bool losesWrites = false;  ///< writes are done and not answered
-    bool hasNoHistory = false; ///< watches get 410
+    bool isDown = false;                 ///< every call gets 503
+    bool isUnresponsive = false;         ///< calls are taken and never answered
+    bool leavesWritesUnanswered = false; ///< writes are done and not answered
+    bool hasNoChangeHistory = false;     ///< watches get 410
 };
 
 /// The store on the loop of its process.
--- a/stand-ins/target_host_main.cpp
+++ b/stand-ins/target_host_main.cpp
@@ -34,7 +34,7 @@
 )";
 
 /// Registered this often.
-constexpr milliseconds heartbeat{300};
+constexpr milliseconds heartbeatInterval{300};
 /// Served on after the registry was told that the targets leave.
 constexpr milliseconds drainTime{1000};
 
@@ -42,9 +42,9 @@
 struct TargetHost {
     EventLoop loop;
     HttpClient client{loop};
-    StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .gap = milliseconds(20), .load = milliseconds(50)}};
+    StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .eventInterval = milliseconds(20), .loadTime = milliseconds(50)}};
     std::map<std::string, std::unique_ptr<StandIn::RawTarget>> targets;
-    std::vector<RegisteredTarget> listed;
+    std::vector<RegisteredTarget> registered;
     Address store;
     int heartbeats = 0;
     bool isDraining = false;
@@ -59,14 +59,14 @@
     return reply;
 }
 
-static void writeRows(TargetHost &host, bool isGone)
+static void writeRows(TargetHost &host, bool isRemoval)
 {
     ++host.heartbeats;
     nlohmann::json puts = nlohmann::json::array();
     nlohmann::json removals = nlohmann::json::array();
-    for (RegisteredTarget &target : host.listed) {
+    for (RegisteredTarget &target : host.registered) {
         nlohmann::json row = {{"table", "servers"}, {"part", ""}, {"key", target.id.value}};
-        if (isGone) {
+        if (isRemoval) {
             removals.push_back(row);
             continue;
         }
@@ -79,12 +79,12 @@
     request.method = "POST";
     request.path = "/rows-tx";
     request.body = nlohmann::json{{"expectedRevision", nlohmann::json::array()}, {"puts", puts}, {"remove", removals}}.dump();
-    request.timeout = heartbeat;
-    host.client.fetch(host.store, std::move(request), [&host, isGone](const HttpResult &result) {
+    request.timeout = heartbeatInterval;
+    host.client.fetch(host.store, std::move(request), [&host, isRemoval](const HttpResult &result) {
         if (!result.isOk()) {
             std::cerr << "registry: " << (result.failure ? result.failure->error.toString() : std::to_string(result.status)) << '\n';
         }
-        if (isGone) {
+        if (isRemoval) {
             host.loop.stop();
         }
     });
@@ -113,7 +113,7 @@
         target.accelerator = "small";
         target.slots = 192;
         std::cout << "listening " << target.id.value << " " << host.engines.add(target.id.value, target.address).toString() << std::endl;
-        host.listed.push_back(target);
+        host.registered.push_back(target);
     }
     for (const std::string &text : absl::GetFlag(FLAGS_targets)) {
         BOOST_LEAF_AUTO(target, parseTarget(text));
@@ -124,7 +124,7 @@
             return runRequest(id, request);
         });
         std::cout << "listening " << id << " " << host.targets[id]->address().toString() << std::endl;
-        host.listed.push_back(target);
+        host.registered.push_back(target);
     }
     return {};
 }
@@ -144,20 +144,20 @@
         std::cerr << error.toString() << '\n';
         return 1;
     }
-    Timer tick(host.loop, [&host] {
+    Timer heartbeatTimer(host.loop, [&host] {
         writeRows(host, false);
     });
-    Timer leave(host.loop, [&host, &tick] {
-        tick.stop();
+    Timer removalTimer(host.loop, [&host, &heartbeatTimer] {
+        heartbeatTimer.stop();
         writeRows(host, true);
     });
-    host.loop.onSignal(SIGTERM, [&host, &leave] {
+    host.loop.onSignal(SIGTERM, [&host, &removalTimer] {
         host.isDraining = true;
         writeRows(host, false);
-        leave.start(drainTime);
+        removalTimer.start(drainTime);
     });
     writeRows(host, false);
-    tick.startRepeating(heartbeat);
+    heartbeatTimer.startRepeating(heartbeatInterval);
     host.loop.run();
     return 0;
 }
--- a/stand-ins/token_function.cpp
+++ b/stand-ins/token_function.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t beginOfText = 1;
 constexpr std::uint32_t vocabularySize = 4096;
-constexpr std::uint64_t endOneIn = 97; ///< chance of an end is one in this many tokens
+constexpr std::uint64_t meanTokensPerEnd = 97; ///< chance of an end is one in this many tokens
 
 /// Finaliser of SplitMix64: every input bit changes about half of the output bits.
 static std::uint64_t mix(std::uint64_t x)
@@ -28,12 +28,12 @@
 std::vector<std::uint32_t> tokenize(std::string_view prompt)
 {
     std::vector<std::uint32_t> tokens = {beginOfText};
-    constexpr std::string_view blanks = " \n\t";
-    std::size_t begin = prompt.find_first_not_of(blanks);
+    constexpr std::string_view whitespace = " \n\t";
+    std::size_t begin = prompt.find_first_not_of(whitespace);
     while (begin != std::string_view::npos) {
-        const std::size_t end = prompt.find_first_of(blanks, begin);
+        const std::size_t end = prompt.find_first_of(whitespace, begin);
         tokens.push_back(static_cast<std::uint32_t>(hash64(prompt.substr(begin, end - begin))));
-        begin = prompt.find_first_not_of(blanks, end);
+        begin = prompt.find_first_not_of(whitespace, end);
     }
     return tokens;
 }
@@ -62,14 +62,14 @@
 
 GeneratedToken pickToken(std::uint64_t activation)
 {
-    static constexpr std::array<const char *, 16> heads = {"b", "d", "f", "g", "h", "k", "l", "m", "n", "p", "r", "s", "t", "v", "w", "z"};
-    static constexpr std::array<const char *, 16> tails = {"a", "e", "i", "o", "u", "an", "en", "in", "on", "un", "ar", "er", "ir", "or", "ur", "al"};
+    static constexpr std::array<const char *, 16> consonants = {"b", "d", "f", "g", "h", "k", "l", "m", "n", "p", "r", "s", "t", "v", "w", "z"};
+    static constexpr std::array<const char *, 16> vowelEndings = {"a", "e", "i", "o", "u", "an", "en", "in", "on", "un", "ar", "er", "ir", "or", "ur", "al"};
     GeneratedToken result;
-    result.isEnd = (activation >> 32) % endOneIn == 0;
+    result.isEnd = (activation >> 32) % meanTokensPerEnd == 0;
     result.token = result.isEnd ? 0 : static_cast<std::uint32_t>(activation % vocabularySize) + 2;
     if (!result.isEnd) {
         const std::uint32_t word = result.token - 2;
-        result.text = std::string(" ") + heads[word % 16] + tails[word / 16 % 16] + heads[word / 256 % 16] + "o";
+        result.text = std::string(" ") + consonants[word % 16] + vowelEndings[word / 16 % 16] + consonants[word / 256 % 16] + "o";
     }
     return result;
 }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -88,7 +88,7 @@
     ClusterOptions options;
     options.entries = 1;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(8000);
+        engine.fixedStepTime = microseconds(8000);
     };
     options.configuration = usualConfiguration();
     options.configuration.replace(options.configuration.find("adapter = clay\n[service.booking]"), 15, "adapter = clay\nbetween-tokens-target = 5ms\n");
@@ -130,7 +130,7 @@
     ClusterOptions options;
     options.entries = 1;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(8000);
+        engine.fixedStepTime = microseconds(8000);
     };
     options.configuration = usualConfiguration();
     options.configuration.replace(options.configuration.find("adapter = clay\n[service.booking]"), 15,
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -264,7 +264,7 @@
     // The store performs the write, but its responses are lost twice. The entry finds its own write id in the history row and
     // reports to the operator what happened: accepted once, as version 2.
     Cluster cluster;
-    cluster.platform.faults().loseAnswers = 2;
+    cluster.platform.faults().unansweredWrites = 2;
     const HttpResult result = cluster.operate("PUT", "/operator/v1/configuration", withTargetClass("b"));
     BOOST_TEST(result.status == 200);
     BOOST_TEST(json::parse(result.body)["version"] == 2);
@@ -296,7 +296,7 @@
     cluster.apply(withTargetClass("b"));
     cluster.waitReady(7);
     cluster.killEntry(1);
-    cluster.platform.faults().isSilent = true;
+    cluster.platform.faults().isUnresponsive = true;
     cluster.startEntry(1);
     BOOST_TEST(!cluster.entries[1]->isReady());
     cluster.wait("the entry to be ready", [&] {
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -15,7 +15,7 @@
 {
     ClusterOptions options;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(3000);
+        engine.fixedStepTime = microseconds(3000);
     };
     // Long timeouts, so that a busy test machine is not mistaken for a stage that hangs.
     options.tuneEntry = [](EntrySettings &entry) {
@@ -70,7 +70,7 @@
     cluster.wait("the answer", [&] {
         return answer->isOver;
     });
-    cluster.platform.faults().isSilent = true;
+    cluster.platform.faults().isUnresponsive = true;
     bool isFinished = false;
     cluster.entries[0]->drain([&] {
         isFinished = true;
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -88,7 +88,7 @@
     options.configuration = usualConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(1000);
+        engine.fixedStepTime = microseconds(1000);
     };
     options.tuneEntry = [](EntrySettings &entry) {
         entry.progressTimeout = milliseconds(200);
@@ -170,10 +170,10 @@
         platform.isDown = true;
         return;
     case 5:
-        platform.isSilent = true;
+        platform.isUnresponsive = true;
         return;
     case 6:
-        platform.loseAnswers = 3;
+        platform.unansweredWrites = 3;
         return;
     case 7:
         return m_cluster.applications[pick(2)]->setCrash(pick(2) == 0 ? StandIn::ApplicationCrash::Before : StandIn::ApplicationCrash::After);
@@ -317,7 +317,7 @@
         FaultRun run(seed);
         const std::vector<Violation> violations = run.run();
         for (const Violation &violation : violations) {
-            BOOST_ERROR("seed " << seed << ": " << toString(violation.promise) << ": " << violation.text << ": " << violation.event);
+            BOOST_ERROR("seed " << seed << ": " << toString(violation.guarantee) << ": " << violation.text << ": " << violation.event);
         }
         BOOST_TEST_MESSAGE("seed " << seed << ": " << run.answered() << " of " << run.asked() << " answered, " << violations.size() << " violations");
         BOOST_TEST(run.answered() > 0);
@@ -356,35 +356,35 @@
     const json booked = firstOf("booked");
     const json handedOver = firstOf("handed-over");
     const json configuration = firstOf("configuration");
-    const std::vector<std::pair<Promise, std::vector<json>>> defects = {
-        {Promise::LayersOnceInOrder, {applied}}, // a stage applies its positions a second time
-        {Promise::LayersOnceInOrder,
+    const std::vector<std::pair<Guarantee, std::vector<json>>> defects = {
+        {Guarantee::LayersOnceInOrder, {applied}}, // a stage applies its positions a second time
+        {Guarantee::LayersOnceInOrder,
          {firstOf("engine-step"),
           {{"event", "engine-step"},
            {"engine", firstOf("engine-step")["engine"]},
            {"stream", firstOf("engine-step")["stream"]},
            {"position", 99},
-           {"positions", 1}}}},             // a gap
-        {Promise::OwnWholeAnswer, {token}}, // a token is emitted again
-        {Promise::OwnWholeAnswer, {{{"event", "caller-answer"}, {"request", "a"}, {"text", "b's answer"}, {"expected", "a's answer"}}}},
-        {Promise::NotRunIsTrue, {{{"event", "stream-ended"}, {"request", applied["request"]}, {"outcome", "not-run"}}}},
-        {Promise::NotRunIsTrue, {{{"event", "booked"}, {"reference", "r2"}}, {{"event", "caller-outcome"}, {"reference", "r2"}, {"outcome", "not-run"}}}},
-        {Promise::AtMostOnce, {booked}},
-        {Promise::AtMostOnce, {handedOver}},
-        {Promise::NoWorkWhenLeaving,
+           {"positions", 1}}}},                    // a gap
+        {Guarantee::OwnCompleteResponse, {token}}, // a token is emitted again
+        {Guarantee::OwnCompleteResponse, {{{"event", "caller-answer"}, {"request", "a"}, {"text", "b's answer"}, {"expected", "a's answer"}}}},
+        {Guarantee::NotRunIsReliable, {{{"event", "stream-ended"}, {"request", applied["request"]}, {"outcome", "not-run"}}}},
+        {Guarantee::NotRunIsReliable, {{{"event", "booked"}, {"reference", "r2"}}, {{"event", "caller-outcome"}, {"reference", "r2"}, {"outcome", "not-run"}}}},
+        {Guarantee::AtMostOnce, {booked}},
+        {Guarantee::AtMostOnce, {handedOver}},
+        {Guarantee::NoWorkWhenLeaving,
          {{{"event", "left"}, {"target", "t"}, {"at", 1}}, {{"event", "opened"}, {"process", "t"}, {"at", 2 + leavingGraceMicros}}}},
-        {Promise::GracefulStop, {{{"event", "drained"}, {"process", "e"}, {"open", 1}}}},
-        {Promise::NewestConfiguration, {configuration}},
-        {Promise::NewestConfiguration, {{{"event", "configuration"}, {"process", "other"}, {"version", 1}, {"digest", "another"}}}},
+        {Guarantee::GracefulStop, {{{"event", "drained"}, {"process", "e"}, {"open", 1}}}},
+        {Guarantee::NewestConfiguration, {configuration}},
+        {Guarantee::NewestConfiguration, {{{"event", "configuration"}, {"process", "other"}, {"version", 1}, {"digest", "another"}}}},
     };
-    for (const auto &[promise, events] : defects) {
+    for (const auto &[guarantee, events] : defects) {
         std::vector<std::string> lines = clean;
         for (const json &event : events) {
             lines.push_back(event.dump());
         }
         const std::vector<Violation> found = checkHistory(lines);
-        BOOST_REQUIRE_MESSAGE(!found.empty(), toString(promise) << " was not caught: " << events.back().dump());
-        BOOST_TEST((found.front().promise == promise), toString(promise));
+        BOOST_REQUIRE_MESSAGE(!found.empty(), toString(guarantee) << " was not caught: " << events.back().dump());
+        BOOST_TEST((found.front().guarantee == guarantee), toString(guarantee));
     }
 }
 
--- a/tests/quarantine_test.cpp
+++ b/tests/quarantine_test.cpp
@@ -21,7 +21,7 @@
     ClusterOptions options;
     options.holders = holders;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(3000);
+        engine.fixedStepTime = microseconds(3000);
     };
     return options;
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -26,7 +26,7 @@
 {
     ClusterOptions options;
     options.tuneEngine = [](StandIn::EngineOptions &engine) {
-        engine.stepFixed = microseconds(3000);
+        engine.fixedStepTime = microseconds(3000);
     };
     options.tuneEntry = [progressTimeout](EntrySettings &entry) {
         entry.progressTimeout = progressTimeout;
--- a/tests/relay_calls_test.cpp
+++ b/tests/relay_calls_test.cpp
@@ -296,7 +296,7 @@
     system.wait("first answer", [&] {
         return first->hasCompleteResponse();
     });
-    target.sendUnasked("HTTP/1.1 200 OK\r\nX-Attempt-Id: id-2\r\nX-Response-Seal: s\r\nContent-Length: 5\r\n\r\nstale");
+    target.sendUnsolicited("HTTP/1.1 200 OK\r\nX-Attempt-Id: id-2\r\nX-Response-Seal: s\r\nContent-Length: 5\r\n\r\nstale");
     system.idle(milliseconds(50));
     const RawCallPtr second = system.call("GET", "/read/x", "id-2");
     system.wait("second answer", [&] {
--- a/tests/relay_streams_test.cpp
+++ b/tests/relay_streams_test.cpp
@@ -17,7 +17,7 @@
     options.engines = engines;
     options.engineOptions.layers = 8;
     options.engineOptions.events = 30;
-    options.engineOptions.gap = milliseconds(20);
+    options.engineOptions.eventInterval = milliseconds(20);
     return options;
 }
 
@@ -63,8 +63,8 @@
     });
     checkComplete(call);
     BOOST_TEST(call->field("X-Response-Seal").starts_with("seal-engine-"));
-    BOOST_TEST(system.engines().badChains() == 0);
-    BOOST_TEST(system.engines().refusedOrders() == 0);
+    BOOST_TEST(system.engines().invalidChains() == 0);
+    BOOST_TEST(system.engines().refusedPlacements() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aCallersOwnResumptionBeginsAfterItsLastEvent)
@@ -98,7 +98,7 @@
         return call->hasCompleteResponse();
     });
     checkComplete(call);
-    BOOST_TEST(system.engines().begun() == 2);
+    BOOST_TEST(system.engines().startedStreams() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(anUnresponsiveEngineInTheChainIsReplacedWithinTheSameRun)
@@ -127,7 +127,7 @@
             return call->eventIds().size() >= 3;
         });
     });
-    system.engines().silence("engine-1");
+    system.engines().makeUnresponsive("engine-1");
     system.wait("answers", [&] {
         return std::all_of(calls.begin(), calls.end(), [](const RawCallPtr &call) {
             return call->hasCompleteResponse();
@@ -136,9 +136,9 @@
     for (const RawCallPtr &call : calls) {
         checkComplete(call);
     }
-    BOOST_TEST(system.engines().moved() >= 1);
-    BOOST_TEST(system.engines().begun() == 6);
-    BOOST_TEST(system.engines().badChains() == 0);
+    BOOST_TEST(system.engines().movedStreams() >= 1);
+    BOOST_TEST(system.engines().startedStreams() == 6);
+    BOOST_TEST(system.engines().invalidChains() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aStalledStreamIsNotCutWhenItMayNotBeginAnew)
@@ -198,7 +198,7 @@
     system.wait("some events", [&] {
         return call->eventIds().size() >= 5;
     });
-    system.engines().silence("engine-1");
+    system.engines().makeUnresponsive("engine-1");
     system.idle(milliseconds(1000));
     system.engines().setLayers("engine-2", {4, 8});
     system.registerEngine("engine-2");
@@ -206,8 +206,8 @@
         return call->hasCompleteResponse() || call->isClosed;
     });
     checkComplete(call, 60);
-    BOOST_TEST(system.engines().begun() == 1);
-    BOOST_TEST(system.engines().badChains() == 0);
+    BOOST_TEST(system.engines().startedStreams() == 1);
+    BOOST_TEST(system.engines().invalidChains() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aLostAnswerDoesNotExcludeTheEngine)
@@ -239,8 +239,8 @@
     system.waitPlaced();
     system.store().faults().isDown = true;
     const std::string leaving = findEngine(system, 4, false);
-    system.engines().refuseParts(leaving);
-    const int before = system.engines().placed();
+    system.engines().refuseNewStreams(leaving);
+    const int before = system.engines().acceptedPlacements();
     int number = 0;
     system.wait("served again", [&] {
         const RawCallPtr call = system.stream("s-" + std::to_string(++number));
@@ -253,8 +253,8 @@
         }
         return call->status() == 200;
     });
-    BOOST_TEST(system.engines().placed() > before);
-    BOOST_TEST(system.engines().badChains() == 0);
+    BOOST_TEST(system.engines().acceptedPlacements() > before);
+    BOOST_TEST(system.engines().invalidChains() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(theLayersOfALostEngineAreLoadedElsewhere)
@@ -288,7 +288,7 @@
         });
         return call->status() == 200;
     });
-    BOOST_TEST(system.engines().badChains() == 0);
+    BOOST_TEST(system.engines().invalidChains() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(ordersWhoseAnswersAreLostAreNotCarriedOutTwice)
@@ -297,13 +297,13 @@
     // that the engine had accepted: the engine refuses it, and placement continues from the state that the engine reports.
     RelaySystemOptions options = withEngines(4);
     RelaySystem system(options);
-    system.engines().loseOrders(true);
+    system.engines().dropOrderResponses(true);
     system.waitReady();
     system.waitPlaced();
-    const int placed = system.engines().placed();
-    BOOST_TEST(placed <= 4);
+    const int acceptedPlacements = system.engines().acceptedPlacements();
+    BOOST_TEST(acceptedPlacements <= 4);
     system.idle(milliseconds(1500));
-    BOOST_TEST(system.engines().placed() == placed);
+    BOOST_TEST(system.engines().acceptedPlacements() == acceptedPlacements);
 }
 
 BOOST_AUTO_TEST_CASE(theInitialPlacementWaitsForAllEngines)
@@ -313,7 +313,7 @@
     RelaySystem system(options);
     system.waitReady();
     system.idle(milliseconds(1000));
-    BOOST_TEST(system.engines().placed() == 0);
+    BOOST_TEST(system.engines().acceptedPlacements() == 0);
     system.waitPlaced();
 }
 
@@ -325,8 +325,8 @@
     system.waitReady();
     system.waitPlaced();
     system.idle(milliseconds(800));
-    BOOST_TEST(system.engines().placed() == 4);
-    BOOST_TEST(system.engines().refusedOrders() == 0);
+    BOOST_TEST(system.engines().acceptedPlacements() == 4);
+    BOOST_TEST(system.engines().refusedPlacements() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aStoppedHolderOfTheLeaseIsReplaced)
@@ -344,9 +344,9 @@
     const std::string lost = findEngine(system, 4, false);
     system.engines().crash(lost);
     system.unregister(lost);
-    const int before = system.engines().placed();
+    const int before = system.engines().acceptedPlacements();
     system.wait("orders by the other relay", [&] {
-        return system.engines().placed() > before;
+        return system.engines().acceptedPlacements() > before;
     });
     BOOST_TEST(system.store().value("leases", "placement").starts_with("entry-" + std::to_string(1 - stopped)));
     system.startRelay(stopped);
@@ -380,10 +380,10 @@
     });
     call->connection->close();
     system.wait("stream ended", [&] {
-        return system.engines().open() == 0;
+        return system.engines().openStreams() == 0;
     });
     system.idle(milliseconds(200));
-    BOOST_TEST(system.engines().begun() == 1);
+    BOOST_TEST(system.engines().startedStreams() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(aStoreWithoutHistoryIsReadAnew)
@@ -391,7 +391,7 @@
     RelaySystem system(withEngines(4));
     system.waitReady();
     system.waitPlaced();
-    system.store().faults().hasNoHistory = true;
+    system.store().faults().hasNoChangeHistory = true;
     system.idle(milliseconds(300));
     system.configure(2, {"key-2"});
     system.unregister("engine-0");
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -126,7 +126,7 @@
     // The application sends 100 MB as a single chunk, which arrives at the sidecar whole. Passed on at once it was over
     // what a link may hold: the link was closed, and every other call on it got `unknown`.
     Cluster cluster;
-    cluster.applications[0]->setSlow(milliseconds(0));
+    cluster.applications[0]->setResponseDelay(milliseconds(0));
     HttpClientRequest request = call("GET", "/services/booking/bytes?count=100000000&chunk=100000000");
     request.maxBodyBytes = SIZE_MAX;
     const auto large = cluster.begin(request);
@@ -196,7 +196,7 @@
     options.applications = 2;
     Cluster cluster(options);
     for (const auto &application : cluster.applications) {
-        application->setSlow(milliseconds(300));
+        application->setResponseDelay(milliseconds(300));
     }
     const auto result = cluster.begin(post("/services/booking/bookings", R"({"wheel": "w1"})"));
     cluster.wait("the hand-over", [&] {
@@ -218,7 +218,7 @@
     options.configuration = usualConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 200ms");
     Cluster cluster(options);
-    cluster.applications[0]->setSlow(milliseconds(1500));
+    cluster.applications[0]->setResponseDelay(milliseconds(1500));
     const HttpResult result = cluster.send(post("/services/booking/bookings", R"({"wheel": "w1"})"));
     const bool isLate = result.status == 502 || result.status == 504;
     BOOST_TEST(isLate);
@@ -254,7 +254,7 @@
 BOOST_AUTO_TEST_CASE(the_same_key_while_the_first_call_runs_gets_409)
 {
     Cluster cluster;
-    cluster.applications[0]->setSlow(milliseconds(400));
+    cluster.applications[0]->setResponseDelay(milliseconds(400));
     const auto first = cluster.begin(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.entries[0]->open() == 1;
@@ -286,7 +286,7 @@
     // The store takes the row and its answer is lost. The entry inserts again with the same write id, finds its own row,
     // and makes the call: once.
     Cluster cluster;
-    cluster.platform.faults().loseAnswers = 1;
+    cluster.platform.faults().unansweredWrites = 1;
     BOOST_TEST(cluster.send(keyedBooking("k1"), 0).status == 201);
     BOOST_TEST(cluster.send(keyedBooking("k1"), 1).status == 201);
     BOOST_TEST(bookingsRun(cluster) == 1u);
@@ -295,12 +295,12 @@
 BOOST_AUTO_TEST_CASE(the_end_of_a_key_is_lost_after_it_took_effect)
 {
     Cluster cluster;
-    cluster.applications[0]->setSlow(milliseconds(200));
+    cluster.applications[0]->setResponseDelay(milliseconds(200));
     const auto first = cluster.begin(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.entries[0]->open() == 1;
     });
-    cluster.platform.faults().loseAnswers = 2;
+    cluster.platform.faults().unansweredWrites = 2;
     cluster.wait("the answer", [&] {
         return first->has_value();
     });
@@ -355,7 +355,7 @@
     options.configuration = usualConfiguration();
     options.configuration.replace(options.configuration.find("deadline = 5s"), 13, "deadline = 1s");
     Cluster cluster(options);
-    cluster.applications[0]->setSlow(milliseconds(100));
+    cluster.applications[0]->setResponseDelay(milliseconds(100));
     const auto first = cluster.begin(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
         return cluster.sidecars.back()->open() == 1;
--- a/tests/work_test.cpp
+++ b/tests/work_test.cpp
@@ -104,14 +104,14 @@
     // with its true version, and the sums are right.
     Cluster cluster(quickFlush());
     for (int i = 0; i < 6; ++i) {
-        cluster.platform.faults().loseAnswers = 1;
+        cluster.platform.faults().unansweredWrites = 1;
         const AnswerPtr answer = cluster.ask("question " + std::to_string(i), 3);
         cluster.wait("an answer", [&] {
             return answer->isOver;
         });
         cluster.idle(milliseconds(120));
     }
-    cluster.platform.faults().loseAnswers = 0;
+    cluster.platform.faults().unansweredWrites = 0;
     cluster.wait("the counters to be written", [&] {
         return reportLine(cluster, "service", "chat", 1).value("answered", 0) == 6;
     });
