--- a/bench/check_history_main.cpp
+++ b/bench/check_history_main.cpp
@@ -1,4 +1,4 @@
-// parsley-check-history: judges the promises from history files.
+// parsley-check-history: checks the guarantees of the system against history files.
 #include "bench/history_checker.h"
 
 #include <algorithm>
@@ -8,12 +8,13 @@
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(parsley-check-history: judges the promises of the system from the histories of a run.
+static constexpr const char *helpText = R"(parsley-check-history: checks the guarantees of the system against the histories of a run.
 
 Usage: parsley-check-history FILE...
 
-The files are what processes wrote under the setting history-file; give those of all processes of a run. Prints each
-broken promise with the offending event. Exit: 0 none, 1 some, 2 a file can't be read.
+The files are those that processes write with the setting history-file; pass the files of all processes of a run.
+Prints each violated guarantee with the event that violates it. Exit: 0 no violation, 1 violations, 2 a file can't be
+read.
 )";
 
 int main(int argc, char **argv)
--- a/bench/history_checker.cpp
+++ b/bench/history_checker.cpp
@@ -37,7 +37,7 @@
 namespace
 {
 
-/// One run being judged.
+/// Collects the violations found in one run.
 struct ViolationCollector {
     std::vector<Violation> violations;
 
@@ -47,12 +47,14 @@
     }
 };
 
+/// Value of a string field; empty if there is none.
 std::string text(const json &event, const char *name)
 {
     const auto it = event.find(name);
     return it != event.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
+/// Value of a number field; 0 if there is none.
 std::uint64_t number(const json &event, const char *name)
 {
     const auto it = event.find(name);
@@ -66,8 +68,8 @@
 
 // [SECTION] Streams
 
-/// Each stage's applied positions, and each engine's, follow each other without gap or overlap; an engine may start a
-/// stream over, which it does at position 0.
+/// Checks that the positions applied by each stage, and by each engine, follow each other without gap or overlap. An engine
+/// may restart a stream, from position 0.
 void checkLayers(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> next;
@@ -91,7 +93,7 @@
     }
 }
 
-/// Tokens of a request leave the entry once each, in order; a caller's whole answer is the expected one.
+/// Checks that an entry emits each token of a request once and in order, and that callers receive the expected response.
 void checkAnswers(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> nextToken;
@@ -112,6 +114,7 @@
 
 // [SECTION] Calls
 
+/// Checks that no request reported as not run was applied by a stage or run by the application.
 void checkNotRun(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::set<std::string> ran;
@@ -124,7 +127,8 @@
             booked.insert(text(event, "reference"));
         }
     }
-    // A reference may be sent again after a not-run, so that only what callers were told last and alone is judged there.
+    // A caller may retry a reference after not-run. A booking therefore contradicts not-run only if every outcome that was
+    // reported for the reference is not-run.
     std::map<std::string, std::vector<const json *>> outcomesByReference;
     for (const json &event : events) {
         const bool isNotRun = text(event, "outcome") == "not-run";
@@ -145,6 +149,7 @@
     }
 }
 
+/// Checks that no non-idempotent request is handed over twice, and that nothing is booked twice.
 void checkAtMostOnce(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, int> handedOver;
@@ -161,6 +166,7 @@
 
 // [SECTION] Leaving and stopping
 
+/// Checks that a target opens no new work later than leavingGraceMicros after it was asked to leave, until it restarts.
 void checkLeaving(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> leftAt;
@@ -181,6 +187,7 @@
     }
 }
 
+/// Checks that a process that has drained had no open requests.
 void checkStops(const std::vector<json> &events, ViolationCollector &collector)
 {
     for (const json &event : events) {
@@ -192,6 +199,7 @@
 
 // [SECTION] Configuration
 
+/// Checks that the version in force grows within each process, and that a version has the same digest in all of them.
 void checkConfiguration(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, std::uint64_t> inForce;
@@ -208,7 +216,7 @@
         previousVersion = version;
         const std::string digest = text(event, "digest");
         if (digest.empty()) {
-            continue; // sidecars hold a part of it
+            continue; // sidecars hold only some sections and record no digest
         }
         const auto [known, isNew] = digests.emplace(version, digest);
         if (!isNew && known->second != digest) {
--- a/bench/history_checker.h
+++ b/bench/history_checker.h
@@ -1,12 +1,12 @@
-// Judges the promises from the histories of a run.
+// Checks the guarantees of the system against the histories of a run.
 //
-// Every process records what it did as JSON lines (base/history.h); the stand-ins and the callers of a run add theirs:
-//   {"event":"engine-step","engine","stream","position","positions"}   as the engine ran it
-//   {"event":"booked","reference"}                                     as the application ran it
-//   {"event":"caller-answer","request","text","expected"}              as a caller got it, whole
-//   {"event":"caller-outcome","reference","outcome"}                   as a caller was told
-//   {"event":"left","target"}                                          the target was asked to leave
-// Lines stand in the order in which they were recorded; "at" is monotonic, in microseconds.
+// Every process records its events as JSON lines (base/history.h); the stand-ins and the callers of a run add these:
+//   {"event":"engine-step","engine","stream","position","positions"}   an engine ran a step
+//   {"event":"booked","reference"}                                     the application ran a booking
+//   {"event":"caller-answer","request","text","expected"}              a caller received a complete response
+//   {"event":"caller-outcome","reference","outcome"}                   outcome that a caller was given
+//   {"event":"left","target"}                                          a target was asked to leave
+// Lines are in the order in which they were recorded; "at" is monotonic, in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -16,28 +16,29 @@
 namespace Parsleytrail
 {
 
-/// The promises, as the brief lists them.
+/// The guarantees of the system.
 enum class Guarantee {
     LayersOnceInOrder,   ///< every layer runs exactly once for each token, in order
-    OwnCompleteResponse, ///< a caller receives the whole answer to its own request
-    NotRunIsReliable,    ///< a request said not to be run was not run
+    OwnCompleteResponse, ///< a caller receives the complete response to its own request
+    NotRunIsReliable,    ///< a request reported as not run was not run
     AtMostOnce,          ///< a non-idempotent request runs at most once
-    NoWorkWhenLeaving,   ///< a leaving target receives no new work after a few seconds
+    NoWorkWhenLeaving,   ///< a leaving target receives no new work after leavingGraceMicros
     GracefulStop,        ///< a graceful shutdown cuts off no request
-    NewestConfiguration  ///< a configuration never reverts, and a version is one file for all
+    NewestConfiguration  ///< a running process never returns to an older configuration; a version has the same content everywhere
 };
+/// Short text for reports.
 const char *toString(Guarantee guarantee);
 
-/// A broken promise.
+/// A violated guarantee.
 struct Violation {
-    Guarantee guarantee = Guarantee::LayersOnceInOrder; ///< which
-    std::string text;                                   ///< what is wrong
-    std::string event;                                  ///< the offending line
+    Guarantee guarantee = Guarantee::LayersOnceInOrder; ///< the guarantee
+    std::string text;                                   ///< description of the violation
+    std::string event;                                  ///< the event that violates it, as JSON
 };
 
-constexpr std::int64_t leavingGraceMicros = 3000000; ///< new work may still come for this long
+constexpr std::int64_t leavingGraceMicros = 3000000; ///< time after "left" during which new work is allowed
 
-/// Judges a run. Lines that are no JSON objects are violations of nothing and are ignored.
+/// Checks all guarantees for one run. Lines that aren't JSON objects are ignored.
 std::vector<Violation> checkHistory(const std::vector<std::string> &lines);
 
 } // namespace Parsleytrail
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,6 +1,6 @@
-// parsley-load: open- and closed-loop load on entries, with answers checked against the reference.
+// parsley-load: open-loop and closed-loop load generator for entries that compares every response with the reference.
 //
-// Prints one "name value unit" line for each figure.
+// Prints one "name value unit" line for each result.
 #include "base/digest.h"
 #include "base/metrics.h"
 #include "base/text.h"
@@ -16,39 +16,39 @@
 #include <iostream>
 #include <random>
 
-ABSL_FLAG(std::vector<std::string>, entries, {}, "callers' ports, host:port");
-ABSL_FLAG(std::string, key, "studio-demo-key", "workspace's key");
+ABSL_FLAG(std::vector<std::string>, entries, {}, "caller addresses of the entries, host:port");
+ABSL_FLAG(std::string, key, "studio-demo-key", "API key of the workspace");
 ABSL_FLAG(std::string, service, "chat", "pipeline service");
-ABSL_FLAG(std::string, model, "assistant", "model, for the reference answer");
-ABSL_FLAG(std::string, model_version, "v1", "version, for the reference answer");
-ABSL_FLAG(std::string, adapter, "clay", "adapter, for the reference answer");
-ABSL_FLAG(uint32_t, layers, 32, "layers, for the reference answer");
-ABSL_FLAG(uint32_t, streams, 0, "closed loop: streams open at once; 0: open loop");
-ABSL_FLAG(uint32_t, requests, 0, "closed loop: requests in all; 0: until the time is over");
-ABSL_FLAG(double, rate, 10, "open loop: requests a second");
-ABSL_FLAG(double, seconds, 10, "open loop: length of the run");
-ABSL_FLAG(uint32_t, prompt_words, 40, "median words in a prompt");
-ABSL_FLAG(uint32_t, max_tokens, 32, "tokens asked for");
-ABSL_FLAG(double, first_token_ms, 300, "target for the first token");
-ABSL_FLAG(double, gap_ms, 39, "target for an answer's mean time between tokens");
-ABSL_FLAG(uint64_t, seed, 1, "seed of prompts and arrivals");
-ABSL_FLAG(std::string, direct, "", "ask this engine, which holds all layers, without parsleytrail in between");
-ABSL_FLAG(std::string, label, "", "put before each name");
+ABSL_FLAG(std::string, model, "assistant", "model, for the reference response");
+ABSL_FLAG(std::string, model_version, "v1", "version, for the reference response");
+ABSL_FLAG(std::string, adapter, "clay", "adapter, for the reference response");
+ABSL_FLAG(uint32_t, layers, 32, "layers, for the reference response");
+ABSL_FLAG(uint32_t, streams, 0, "closed loop: number of concurrent streams; 0: open loop");
+ABSL_FLAG(uint32_t, requests, 0, "closed loop: total number of requests; 0: for --seconds");
+ABSL_FLAG(double, rate, 10, "open loop: mean requests per second");
+ABSL_FLAG(double, seconds, 10, "open loop, or closed loop without --requests: duration of the run");
+ABSL_FLAG(uint32_t, prompt_words, 40, "median number of words in a prompt");
+ABSL_FLAG(uint32_t, max_tokens, 32, "maximum tokens per response");
+ABSL_FLAG(double, first_token_ms, 300, "latency target for the first token, in milliseconds");
+ABSL_FLAG(double, gap_ms, 39, "target for the mean time between tokens of a response, in milliseconds");
+ABSL_FLAG(uint64_t, seed, 1, "random seed for prompts and arrival times");
+ABSL_FLAG(std::string, direct, "", "host:port of an engine that holds all layers, to be loaded without the router");
+ABSL_FLAG(std::string, label, "", "prefix of each result name");
 
 using namespace Parsleytrail;
 using nlohmann::json;
 
-static constexpr const char *helpText = R"(parsley-load: load on entries, with every answer checked.
+static constexpr const char *helpText = R"(parsley-load: load generator for entries that checks every response.
 
 Usage: parsley-load --entries=HOST:PORT,... [--streams=N --requests=N | --rate=R --seconds=S] [--prompt_words=N]
                     [--max_tokens=N] [--seed=N] [--label=TEXT]
 
-Closed loop (--streams): keeps N streams open until --requests are answered.
-Direct (--direct=HOST:PORT --streams=N --requests=N): the same streams at one engine, for comparison.
-Open loop (--rate): sends at random times, whether or not answers come, for --seconds.
+Closed loop (--streams): keeps N streams open until --requests requests have ended, or for --seconds without --requests.
+Direct (--direct=HOST:PORT --streams=N --requests=N): sends the same streams to one engine, for comparison.
+Open loop (--rate): sends requests at random times for --seconds, without waiting for responses.
 
-Prints "name value unit" lines: answers by outcome, wrong answers, time to first token, time between tokens, tokens a
-second. Exit: 0 if no answer was wrong, 1 otherwise.
+Prints "name value unit" lines: requests by outcome, wrong responses among them, time to first token, time between
+tokens, tokens per second. Exit: 0 if no response was wrong, 1 otherwise, 2 if the addresses are missing or malformed.
 
 Example: parsley-load --entries=127.0.0.1:18001,127.0.0.1:18004 --streams=200 --requests=1000
 )";
@@ -58,28 +58,28 @@
 
 /// Results of a run.
 struct Totals {
-    std::uint64_t sent = 0;          ///< requests
-    std::uint64_t answered = 0;      ///< whole and right
-    std::uint64_t wrong = 0;         ///< whole, and not the reference answer
-    std::uint64_t truncated = 0;     ///< ended without [DONE]
-    std::uint64_t refused = 0;       ///< another status than 200
+    std::uint64_t sent = 0;          ///< requests sent
+    std::uint64_t answered = 0;      ///< complete responses equal to the reference
+    std::uint64_t wrong = 0;         ///< complete responses that differ from the reference
+    std::uint64_t truncated = 0;     ///< responses that ended without [DONE]
+    std::uint64_t refused = 0;       ///< responses with a status other than 200, and requests without a response
     std::uint64_t tokens = 0;        ///< events with text
-    std::uint64_t withinTargets = 0; ///< answered, with the first token and the mean gap in time
+    std::uint64_t withinTargets = 0; ///< answered, with the first token and the mean time between tokens within their targets
     TimeHistogram firstToken;
     TimeHistogram betweenTokens;
-    TimeHistogram completeResponse;
+    TimeHistogram completeResponse; ///< from sending to the end, right and wrong responses
 };
 
-/// One request on its way.
+/// A request that has not ended.
 struct PendingRequest {
     std::string prompt;                             ///< content of the only message
-    std::string unparsed;                           ///< bytes not read yet
-    std::string text;                               ///< answer so far
-    int status = 0;                                 ///< of the answer
-    bool hasDone = false;                           ///< [DONE] came
-    std::chrono::steady_clock::time_point sentAt{}; ///< request sent
-    std::chrono::steady_clock::time_point lastAt{}; ///< last token
-    double firstTokenSeconds = 0;                   ///< from sending
+    std::string unparsed;                           ///< received bytes not parsed yet
+    std::string text;                               ///< text received so far
+    int status = 0;                                 ///< HTTP status; 0 if no response head was received
+    bool hasDone = false;                           ///< [DONE] was received
+    std::chrono::steady_clock::time_point sentAt{}; ///< when the request was sent
+    std::chrono::steady_clock::time_point lastAt{}; ///< when the last token was received
+    double firstTokenSeconds = 0;                   ///< from sending to the first token
     std::uint32_t tokens = 0;                       ///< events with text
 };
 
@@ -88,7 +88,7 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - from).count();
 }
 
-/// Makes the load.
+/// Generates the load and collects the results.
 class Load
 {
 public:
@@ -103,7 +103,9 @@
     {
     }
 
+    /// Sends the requests and waits until all have ended, at most 10 minutes.
     void run();
+    /// Prints the results; returns the exit status.
     int report() const;
 
 private:
@@ -122,12 +124,13 @@
     void stepDirect(const std::shared_ptr<PendingRequest> &pending, std::uint32_t position, std::uint32_t token);
 
     Totals m_totals;
-    std::uint64_t m_open = 0;
+    std::uint64_t m_open = 0; ///< requests that have not ended
     std::chrono::steady_clock::time_point m_startedAt{};
     double m_seconds = 0;
 };
 
-/// Words from a small vocabulary, with a long-tailed length; every fourth prompt starts with a shared prefix.
+/// Random words of a vocabulary of 10000; their number is log-normally distributed. One prompt in four, on average, starts
+/// with a shared prefix.
 std::string Load::makePrompt()
 {
     std::lognormal_distribution<double> lengths(std::log(absl::GetFlag(FLAGS_prompt_words)), 0.6);
@@ -195,7 +198,8 @@
     }
 }
 
-/// One token of a stream at an engine without the router: the step that the first and only stage would make.
+/// Requests one token of a stream directly from an engine, with the step that the first and only stage of a chain would
+/// send.
 void Load::stepDirect(const std::shared_ptr<PendingRequest> &pending, std::uint32_t position, std::uint32_t token)
 {
     json item = {{"stream", std::to_string(reinterpret_cast<std::uintptr_t>(pending.get()))},
--- a/stand-ins/application.h
+++ b/stand-ins/application.h
@@ -1,11 +1,12 @@
-// Stand-in for the booking application.
+// Stand-in for the booking application: each call adds a booking, so that tests see calls that ran twice.
 //
-//   POST /bookings {"wheel"}      201 {"booking": N}; runs once for each call
+//   POST /bookings {"wheel"}      201 {"booking": N}; every call creates a new booking
 //   GET  /bookings                {"bookings":[{"booking","wheel","reference"}]}
 //   DELETE /bookings/N            200, or 404
-//   ANY  /echo                    method, path, headers and body come back
-//   GET  /bytes?count=N&chunk=M   N bytes in chunks of M
-//   POST /faults {"crash"?: "none"|"before"|"after", "slow-ms"?, "hang"?}
+//   ANY  /echo                    returns method, path, query, headers and body of the request as JSON
+//   GET  /bytes?count=N&chunk=M   N bytes, streamed in chunks of M bytes
+//   POST /faults {"crash"?: "none"|"before"|"after", "slow-ms"?}
+//                                 see setCrash and setResponseDelay
 #pragma once
 
 #include "base/address.h"
@@ -18,29 +19,31 @@
 namespace Parsleytrail::StandIn
 {
 
-/// One booking as the application ran it.
+/// A booking that the application created.
 struct Booking {
-    std::uint64_t number = 0; ///< from 1
+    std::uint64_t number = 0; ///< id, counted from 1
     std::string wheel;        ///< what was booked
-    std::string reference;    ///< X-Request-Id of the call
-    bool isCancelled = false; ///< deleted later
+    std::string reference;    ///< X-Request-Id of the call that created it
+    bool isCancelled = false; ///< set by DELETE; the booking is no longer listed
 };
 
-/// Faults of the application.
+/// When the connection of a call is aborted: never, before the call runs, or after a booking was created.
 enum class ApplicationCrash { None, Before, After };
 
-/// The application on the loop of its process.
+/// The application's HTTP server; runs on the caller's event loop.
 class Application
 {
 public:
     explicit Application(EventLoop &loop);
     ~Application();
 
+    /// Listens on the address; port 0 picks a free one. Returns the bound address.
     Result<Address> listen(const Address &address);
+    /// All bookings ever created, cancelled ones included.
     const std::vector<Booking> &bookings() const;
-    /// Breaks the connection of calls before or after running them.
+    /// Aborts the connection of calls before they run, or of bookings after they ran.
     void setCrash(ApplicationCrash crash);
-    /// Answers after this time.
+    /// Delays the execution of every call by this time.
     void setResponseDelay(milliseconds delay);
 
 private:
--- a/stand-ins/chain_engines.cpp
+++ b/stand-ins/chain_engines.cpp
@@ -18,6 +18,7 @@
 
 // [SECTION] State
 
+/// One stage of a chain: an engine's address and the layers that it applies.
 struct EngineStage {
     std::string address;
     LayerRange layers;
@@ -25,28 +26,29 @@
 
 struct ChainEngine;
 
-/// A stream at its first engine.
+/// A stream, owned by the first engine of its chain.
 struct EngineStream {
     ChainEngine *engine = nullptr;
     ConnectionPtr connection;
     std::string id;
     std::vector<EngineStage> chain;
-    int next = 1; ///< id of the next event
+    int next = 1; ///< id of the next event to send
     std::unique_ptr<Timer> eventTimer;
-    TimePoint stalledAt{};
-    std::string unavailableEngine; ///< address of the engine that does not answer
+    TimePoint stalledAt{};         ///< when it began to stall; the epoch if it makes progress
+    std::string unavailableEngine; ///< address of the first unavailable engine; empty if none
 };
 
+/// An engine and the faults injected into it.
 struct ChainEngine {
     std::string id;
-    std::string address;
+    std::string address; ///< as chains identify it, HOST:PORT
     std::unique_ptr<Listener> listener;
     std::set<ConnectionPtr> connections;
     LayerRange layers;
-    LayerRange loadingLayers;
+    LayerRange loadingLayers; ///< layers of the order being executed
     std::unique_ptr<Timer> loadTimer;
-    std::uint64_t orderCount = 0;
-    bool isBusy = false;
+    std::uint64_t orderCount = 0; ///< placement orders accepted
+    bool isBusy = false;          ///< loads a layer range
     bool isUnresponsive = false;
     bool isDead = false;
     bool refusesNewStreams = false;
@@ -99,6 +101,7 @@
     return nullptr;
 }
 
+/// Parses "HOST:PORT=FROM-TO,...".
 std::vector<EngineStage> ChainEngines::Private::parseChain(std::string_view text)
 {
     std::vector<EngineStage> chain;
@@ -126,7 +129,7 @@
     return next == options.layers;
 }
 
-/// Address of the first engine of the chain that can't serve its part; empty if all can.
+/// Address of the first engine of the chain that doesn't respond or doesn't hold its layers; empty if all can serve.
 std::string ChainEngines::Private::findUnavailableEngine(const std::vector<EngineStage> &chain)
 {
     for (const EngineStage &stage : chain) {
--- a/stand-ins/chain_engines.h
+++ b/stand-ins/chain_engines.h
@@ -1,8 +1,9 @@
 // Stand-in for engines that hold layer ranges and pass activations among themselves.
 //
-// They speak the engines' protocol: requests with a chain, reports, orders to hold a range and to move a request. A
-// stream's events are numbered from the one after Last-Event-Id; each needs every engine of the chain. Requests whose
-// chain skips, repeats or swaps a layer are counted.
+// They implement the engines' HTTP protocol: requests with a chain, reports, orders to load a layer range and orders to
+// move a stream to another chain. The events of a stream are numbered from the one after Last-Event-Id; an event is sent
+// only while every engine of the chain responds and holds its layers. Requests whose chain skips, repeats or swaps a
+// layer are counted.
 #pragma once
 
 #include "base/address.h"
@@ -16,46 +17,49 @@
 namespace Parsleytrail::StandIn
 {
 
-/// All engines of a test.
+/// Settings shared by all engines of a test.
 struct ChainEnginesOptions {
-    int layers = 8;                 ///< of the model
-    int events = 20;                ///< of an answer
-    milliseconds eventInterval{10}; ///< between events
-    milliseconds loadTime{30};      ///< from an order to its end
-    milliseconds stallTimeout{600}; ///< a stream that waits for a dead engine is cut after this time
+    int layers = 8;                 ///< layers of the model
+    int events = 20;                ///< events in a complete response, from id 1
+    milliseconds eventInterval{10}; ///< time between two events of a stream
+    milliseconds loadTime{30};      ///< time to load a layer range after an order
+    milliseconds stallTimeout{600}; ///< a stream whose chain has an unavailable engine is closed after this time
 };
 
-/// Engines on the loop of their process.
+/// Engines that run on the caller's event loop.
 class ChainEngines
 {
 public:
     ChainEngines(EventLoop &loop, ChainEnginesOptions options);
     ~ChainEngines();
 
-    /// Starts an engine; returns its address. Chains name it by `registered` if that is given.
+    /// Starts an engine; returns the address it listens on. Chains identify it by `registered` if that is given, else by
+    /// the returned address.
     Address add(const std::string &id, const Address &registered = {});
-    /// It accepts connections and never answers, and streams through it stall.
+    /// The engine accepts connections but never responds, and streams through it stall.
     void makeUnresponsive(const std::string &id);
-    /// It closes all connections and takes no more.
+    /// The engine resets all connections and accepts no new ones.
     void crash(const std::string &id);
-    /// It refuses new streams through it and goes on with those that it has.
+    /// The engine refuses new streams whose chain includes it and continues the open ones.
     void refuseNewStreams(const std::string &id);
-    /// Cuts the connections of all streams that entered the chain there, in the middle of an event.
+    /// Resets the connections of all streams whose first engine is this one, in the middle of an event.
     void cutStreams(const std::string &id);
-    /// Orders get no answer, and are carried out all the same.
+    /// Orders to load a range are executed, but get no response.
     void dropOrderResponses(bool drops);
 
+    /// Layers that the engine holds.
     LayerRange layers(const std::string &id) const;
     void setLayers(const std::string &id, LayerRange layers);
-    /// Streams begun, ended by their own end, and open.
+    /// Streams started so far, and streams open now.
     int startedStreams() const;
     int openStreams() const;
-    /// Orders to move a request that were carried out.
+    /// Orders to move a stream that were executed.
     int movedStreams() const;
-    /// Orders to hold a range that were accepted, and refused because of their count.
+    /// Orders to load a range that were accepted, and that were refused because the engine was busy or the expected number
+    /// of orders was not the actual one.
     int acceptedPlacements() const;
     int refusedPlacements() const;
-    /// Requests whose chain did not apply every layer once and in order.
+    /// Chains received (with a request or a move) that did not cover every layer once and in order.
     int invalidChains() const;
 
 private:
--- a/stand-ins/engine.cpp
+++ b/stand-ins/engine.cpp
@@ -21,17 +21,17 @@
 namespace
 {
 
-/// A step request that waits for its turn or runs.
+/// A step request that is queued or runs.
 struct PendingStep {
-    ExchangePtr exchange; ///< where the answer goes
-    json items;           ///< as received
+    ExchangePtr exchange; ///< receives the response
+    json items;           ///< items of the request, as received
 };
 
-/// Prefix cache event.
+/// A change of the prefix cache.
 struct CacheEvent {
-    std::uint64_t sequence = 0; ///< grows by one
+    std::uint64_t sequence = 0; ///< increases by one per event
     std::uint64_t prefix = 0;   ///< hash of the prompt
-    bool isStored = true;       ///< false: evicted
+    bool isStored = true;       ///< stored; false: evicted
 };
 
 json errorItem(const std::string &stream, const char *text)
@@ -49,22 +49,22 @@
     Timer stepTimer;
     std::deque<PendingStep> queuedSteps;
     std::vector<PendingStep> runningSteps;
-    std::vector<json> runningResults;
+    std::vector<json> runningResults; ///< of runningSteps, in the same order
     std::unordered_map<std::string, LayerState> streams;
-    std::list<std::uint64_t> prefixes; ///< newest first
+    std::list<std::uint64_t> prefixes; ///< hashes of cached prompts, most recently used first
     std::deque<CacheEvent> events;
     std::uint64_t eventSequence = 0;
-    std::uint64_t fencingFloor = 0;
+    std::uint64_t fencingFloor = 0; ///< highest fencing number received
     std::vector<StepRecord> records;
     bool isRecording = false;
     std::uint64_t positionsApplied = 0;
-    std::uint32_t kvUsed = 0;
-    std::string crashText;
+    std::uint32_t kvUsed = 0; ///< positions of all streams
+    std::string crashText;    ///< see Engine::crashOn; empty: none
     bool isHanging = false;
     double slowdownFactor = 1;
     bool isDead = false;
-    json lastReport = json::object(); ///< load as of the last report
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+    json lastReport = json::object();                           ///< load as last reported
+    std::shared_ptr<bool> alive = std::make_shared<bool>(true); ///< deferred work checks that it has not expired
     TimePoint lastReportAt{};
 
     Private(EventLoop &eventLoop, EngineOptions engineOptions)
@@ -149,6 +149,7 @@
     }
 }
 
+/// Makes the prompt the most recent one in the prefix cache; returns whether it was in it before.
 bool Engine::Private::cachePrefix(const std::string &prompt)
 {
     const std::uint64_t hash = hash64(prompt);
@@ -165,11 +166,12 @@
         prefixes.pop_back();
     }
     while (events.size() > options.prefixCapacity) {
-        events.pop_front(); // a reader that comes late misses these
+        events.pop_front(); // readers that poll too rarely miss these
     }
     return false;
 }
 
+/// Runs one item of a step; returns its result and adds the positions that cost time to `positions`.
 json Engine::Private::runItem(const json &item, std::uint32_t &positions)
 {
     const std::string stream = item.value("stream", "");
@@ -316,7 +318,7 @@
 {
     isDead = true;
     stepTimer.stop();
-    // The server can't be destroyed on its own stack.
+    // This may run in a handler of the server, which can't be destroyed before the handler returns.
     loop.defer([this, weak = std::weak_ptr(alive)] {
         if (weak.expired()) {
             return;
--- a/stand-ins/engine.h
+++ b/stand-ins/engine.h
@@ -5,10 +5,12 @@
 //                           "activations"?,"promptLength"?,"priority"}]}
 //                        -> {"items":[{"stream","promptLength","positions","activations"?,"tokens"?:[[id,text,end]],"error"?}]}
 //   POST /engine/v1/cancel  {"streams":[...]}
-//   POST /engine/v1/orders  {"fencing","action":"load"|"unload"|"role",...}; 409 for an old fencing number, if it checks them
-//   GET  /engine/v1/kv?stream=S, PUT /engine/v1/kv   export and import of a stream's state
-//   GET  /engine/v1/events?since=N                    prefix cache events, late and with gaps
-//   GET  /engine/v1/status                            load, as of a while ago
+//   POST /engine/v1/orders  {"fencing","action":"load"|"unload"|"role",...}
+//                           409 for an old fencing number if checksFencing is set
+//   GET  /engine/v1/kv?stream=S, PUT /engine/v1/kv   exports and imports the state of a stream
+//   GET  /engine/v1/events?since=N                    prefix cache events after N; only the latest are kept, so a slow
+//                                                     reader sees gaps
+//   GET  /engine/v1/status                            load, up to reportLag old
 //   POST /engine/v1/faults  {"crash-on"?, "hang"?, "slow"?, "die"?}
 #pragma once
 
@@ -24,54 +26,55 @@
 namespace Parsleytrail::StandIn
 {
 
-/// What an engine is and costs.
+/// Identity, layers and simulated costs of an engine.
 struct EngineOptions {
-    std::string id = "engine";           ///< name in records
+    std::string id = "engine";           ///< engine name in step records
     Weights weights;                     ///< model and version loaded; the adapter is chosen by each item
     std::vector<std::string> adapters;   ///< adapters loaded
     std::uint32_t layerBegin = 0;        ///< first layer held
     std::uint32_t layerEnd = 1;          ///< one past the last
-    std::uint32_t modelLayers = 1;       ///< layers of the model; a range that ends here gives tokens
-    microseconds fixedStepTime{500};     ///< time of a step whatever is in it
-    double microsPerPositionLayer = 0.5; ///< time of one position in one layer
-    std::uint32_t maxBatch = 256;        ///< items in a step
-    std::uint32_t kvCapacity = 1 << 20;  ///< positions of all streams together
-    std::uint32_t prefixCapacity = 64;   ///< prompts remembered
-    milliseconds reportLag{200};         ///< age of the load reported
+    std::uint32_t modelLayers = 1;       ///< layers of the model; an engine whose range ends here returns tokens
+    microseconds fixedStepTime{500};     ///< base time of a step, independent of its items
+    double microsPerPositionLayer = 0.5; ///< microseconds per position and layer
+    std::uint32_t maxBatch = 256;        ///< items after which no further request joins a step
+    std::uint32_t kvCapacity = 1 << 20;  ///< KV cache size: positions of all streams together
+    std::uint32_t prefixCapacity = 64;   ///< prompts in the prefix cache, and cache events kept
+    milliseconds reportLag{200};         ///< a load report is reused until it is this old
     bool checksFencing = true;           ///< refuses orders with an old fencing number
 };
 
-/// One step as the engine ran it, for checking that each layer ran once for each position.
+/// One item of a step as the engine ran it; lets tests check that each layer ran once for each position.
 struct StepRecord {
-    std::string engine;           ///< engine
-    std::string stream;           ///< stream
-    std::uint32_t layerBegin = 0; ///< layers applied
-    std::uint32_t layerEnd = 0;
-    std::uint32_t position = 0;  ///< first position
-    std::uint32_t positions = 0; ///< count
+    std::string engine;           ///< id of the engine
+    std::string stream;           ///< id of the stream
+    std::uint32_t layerBegin = 0; ///< first layer applied
+    std::uint32_t layerEnd = 0;   ///< one past the last
+    std::uint32_t position = 0;   ///< first position applied
+    std::uint32_t positions = 0;  ///< number of positions
 };
 
-/// An engine on the loop of its process; one process may hold many.
+/// An engine on the caller's event loop; one process may run several.
 class Engine
 {
 public:
     Engine(EventLoop &loop, EngineOptions options);
     ~Engine();
 
+    /// Listens on the address; port 0 picks a free one. Returns the bound address.
     Result<Address> listen(const Address &address);
-    /// Steps run so far, if recording was asked for.
+    /// Steps run while recording was on.
     const std::vector<StepRecord> &records() const;
     void recordSteps(bool isOn);
-    /// Positions applied so far, all layers of the range counted once.
+    /// Positions applied so far; a position counts once, however many layers the engine holds.
     std::uint64_t positionsApplied() const;
     std::size_t openStreams() const;
     bool isDead() const;
 
-    // Faults by call, as POST /engine/v1/faults sets them
-    void crashOn(std::string text);        ///< dies in the first step that holds a prompt with this text
-    void setHanging(bool isHanging);       ///< takes steps and never answers
-    void setSlowdownFactor(double factor); ///< steps take this many times as long
-    void die();                            ///< closes its port and forgets everything
+    // Fault injection, as by POST /engine/v1/faults
+    void crashOn(std::string text);        ///< the engine dies in the first step with a prompt that contains this text
+    void setHanging(bool isHanging);       ///< accepts steps but does not respond until the flag is cleared
+    void setSlowdownFactor(double factor); ///< multiplies the duration of steps
+    void die();                            ///< closes the port and drops all streams and queued steps
 
 private:
     struct Private;
--- a/stand-ins/engine_main.cpp
+++ b/stand-ins/engine_main.cpp
@@ -1,4 +1,4 @@
-// stand-in-engine: one or more engines as a process.
+// stand-in-engine: one or more model engines as a program.
 #include "base/text.h"
 #include "stand-ins/engine.h"
 #include "stand-ins/process.h"
@@ -13,10 +13,10 @@
 ABSL_FLAG(std::string, model_version, "v1", "version loaded");
 ABSL_FLAG(std::vector<std::string>, adapters, {}, "adapters loaded");
 ABSL_FLAG(uint32_t, layers, 32, "layers of the model");
-ABSL_FLAG(uint32_t, step_micros, 500, "fixed time of a step");
-ABSL_FLAG(double, position_micros, 0.5, "time of one position in one layer");
-ABSL_FLAG(uint32_t, kv_capacity, 1 << 20, "positions in the KV cache");
-ABSL_FLAG(bool, checks_fencing, true, "refuses orders with an old fencing number");
+ABSL_FLAG(uint32_t, step_micros, 500, "base time of a step, in microseconds");
+ABSL_FLAG(double, position_micros, 0.5, "time per position and layer, in microseconds");
+ABSL_FLAG(uint32_t, kv_capacity, 1 << 20, "KV cache size, in positions");
+ABSL_FLAG(bool, checks_fencing, true, "refuse orders with an old fencing number");
 
 using namespace Parsleytrail;
 
@@ -25,12 +25,13 @@
 Usage: stand-in-engine --engines=ID=HOST:PORT:BEGIN-END[,...] [--model=NAME] [--model_version=V] [--adapters=A,...]
                        [--layers=N] [--step_micros=N] [--position_micros=X] [--kv_capacity=N] [--checks_fencing=true|false]
 
-Prints "listening ID HOST:PORT" for each engine. stand-ins/engine.h describes the interface and the faults.
+Prints "listening ID HOST:PORT" for each engine. stand-ins/engine.h describes the HTTP interface and the
+faults that can be injected.
 
 Example: stand-in-engine --engines=e1=127.0.0.1:9001:0-10,e2=127.0.0.1:9002:10-22 --layers=32
 )";
 
-/// Reads "ID=HOST:PORT:BEGIN-END" into options and an address.
+/// Parses "ID=HOST:PORT:BEGIN-END"; sets id and layers in `options` and returns the address.
 static Result<Address> parseEngine(const std::string &text, StandIn::EngineOptions &options)
 {
     const std::size_t equals = text.find('=');
--- a/stand-ins/listening_program.h
+++ b/stand-ins/listening_program.h
@@ -1,4 +1,4 @@
-// The main function of stand-ins that listen on one address.
+// The main function of stand-in programs that listen on one address.
 //
 //     int main(int argc, char **argv)
 //     {
@@ -11,10 +11,10 @@
 namespace Parsleytrail::StandIn
 {
 
-/// Reads the command line; returns the value of --listen, HOST:PORT.
+/// Parses the command line; returns the value of --listen, HOST:PORT.
 std::string parseListenAddress(int argc, char **argv);
 
-/// Prints the help, or runs a server until a signal. Returns the exit status.
+/// Prints the help if it is asked for, else runs a `Server` until SIGTERM or SIGINT. Returns the exit status.
 template<typename Server>
 int runListeningProgram(int argc, char **argv, const char *helpText)
 {
--- a/stand-ins/platform.cpp
+++ b/stand-ins/platform.cpp
@@ -21,25 +21,25 @@
 namespace
 {
 
-/// A stored row.
+/// A row of a table.
 struct StoredRow {
-    std::uint64_t version = 0; ///< grows with each write
-    std::string value;         ///< opaque
+    std::uint64_t version = 0; ///< increases by one with each write
+    std::string value;         ///< not interpreted
 };
 using Table = std::map<std::string, StoredRow>;
 
-/// An answer before it is sent.
+/// A response before it is sent.
 struct Answer {
     int status = 200;           ///< HTTP status
     json body = json::object(); ///< JSON body
-    std::string raw;            ///< sent in place of the body if not empty
+    std::string raw;            ///< sent instead of `body` if not empty
     bool isWrite = false;       ///< a write took effect
 };
 
-/// An instance with the time from which the list shows its state.
+/// An instance in the membership list, whose changes become visible after PlatformFaults::membershipLag.
 struct Member {
-    json visible;          ///< as the list shows it
-    json actual;           ///< as it is
+    json visible;          ///< state that readers of the list see; null if none
+    json actual;           ///< latest state; null if deleted
     TimePoint changedAt{}; ///< when `actual` changed
 };
 
@@ -66,7 +66,7 @@
     std::uint64_t writes = 0;
     std::uint64_t refused = 0;
     std::set<std::unique_ptr<Timer>> timers;
-    std::vector<ExchangePtr> unanswered;
+    std::vector<ExchangePtr> unanswered; ///< calls kept open by PlatformFaults::isUnresponsive
 
     void handle(const ExchangePtr &exchange);
     Answer route(const HttpRequest &request);
@@ -82,6 +82,7 @@
 
 // [SECTION] Tables
 
+/// Whether the row has this version; 0 means that there is no row.
 static bool hasVersion(const Table &table, const std::string &key, std::uint64_t version)
 {
     const auto row = table.find(key);
--- a/stand-ins/platform.h
+++ b/stand-ins/platform.h
@@ -3,13 +3,15 @@
 // HTTP interface (JSON):
 //   GET  /tables/T/rows/K                 {"key","version","value"}, 404
 //   GET  /tables/T/rows?from=&to=&limit=  {"rows":[...]}
-//   PUT  /tables/T/rows/K                 {"value","if-version"}; 409 if another version is there (0: absent)
+//   PUT  /tables/T/rows/K                 {"value","if-version"}; 409 if the row has another version (0: no row)
 //   DELETE /tables/T/rows/K?if-version=N
-//   POST /transactions                    {"writes":[{"table","key","value","if-version"}]}; all or none, 409
-//   PUT  /objects/N (201; 200 if it was there), GET /objects/N
+//   POST /transactions                    {"writes":[{"table","key","value","if-version"}]}; all writes or none;
+//                                         409 if a version differs
+//   PUT  /objects/N (201; 200 if it exists, which keeps the old content), GET /objects/N
 //   GET  /membership, PUT /membership/ID {"role","host","port","state"}, DELETE /membership/ID
-//   GET  /weights/N                       at a limited rate: 429
-//   POST /faults                          {"down"?, "slow-ms"?, "lose-answers"?: count, "list-lag-ms"?}
+//   GET  /weights/N                       429 above the rate limit
+//   POST /faults                          {"down"?, "silent"?, "slow-ms"?, "lose-answers"?: count, "list-lag-ms"?};
+//                                         see PlatformFaults
 //   GET  /counters                        {"reads","writes","refused"}
 #pragma once
 
@@ -22,27 +24,29 @@
 namespace Parsleytrail::StandIn
 {
 
-/// Faults that can be set.
+/// Faults that can be injected.
 struct PlatformFaults {
-    bool isDown = false;           ///< every call gets 503
-    bool isUnresponsive = false;   ///< calls are taken and never answered
-    milliseconds responseDelay{0}; ///< calls take this long
-    int unansweredWrites = 0;      ///< so many writes take effect and are not answered
-    milliseconds membershipLag{0}; ///< the membership list shows a change after this long
+    bool isDown = false;           ///< every call is answered with 503
+    bool isUnresponsive = false;   ///< calls are accepted but never answered
+    milliseconds responseDelay{0}; ///< delay of every response
+    int unansweredWrites = 0;      ///< the next N writes take effect but get no response: their connection is aborted
+    milliseconds membershipLag{0}; ///< delay until a change is visible in the membership list
 };
 
-/// The platform on the loop of its process.
+/// The platform's HTTP server; runs on the caller's event loop.
 class Platform
 {
 public:
     explicit Platform(EventLoop &loop);
     ~Platform();
 
+    /// Listens on the address; port 0 picks a free one. Returns the bound address.
     Result<Address> listen(const Address &address);
     PlatformFaults &faults();
+    /// GET requests and other requests handled; those refused because of a fault don't count.
     std::uint64_t reads() const;
     std::uint64_t writes() const;
-    /// Puts an instance on the list at once.
+    /// Adds an instance to the membership list or replaces it; visible at once unless membershipLag is set.
     void listInstance(const std::string &id, const std::string &role, const Address &address, bool isLeaving);
 
 private:
--- a/stand-ins/platform_main.cpp
+++ b/stand-ins/platform_main.cpp
@@ -1,4 +1,4 @@
-// stand-in-platform: the platform's stand-in as a process.
+// stand-in-platform: the stand-in for the platform as a program.
 #include "stand-ins/listening_program.h"
 #include "stand-ins/platform.h"
 
@@ -8,7 +8,7 @@
 
 Usage: stand-in-platform [--listen=HOST:PORT]
 
-Prints "listening HOST:PORT". stand-ins/platform.h describes its interface and the faults it can be told to have.
+Prints "listening HOST:PORT". stand-ins/platform.h describes its HTTP interface and the faults that can be injected.
 )";
 
 int main(int argc, char **argv)
--- a/stand-ins/raw_target.cpp
+++ b/stand-ins/raw_target.cpp
@@ -13,6 +13,7 @@
     return std::string(parsed.find(name));
 }
 
+/// An accepted connection and its number.
 struct RawConnection {
     ConnectionPtr connection;
     int number = 0;
@@ -29,8 +30,8 @@
     Handler handler;
     std::unique_ptr<Listener> listener;
     std::vector<RawRequest> requests;
-    std::map<int, ConnectionPtr> connections;
-    std::set<ConnectionPtr> closing;
+    std::map<int, ConnectionPtr> connections; ///< open, by number
+    std::set<ConnectionPtr> closing;          ///< still writing their last response
     std::vector<std::unique_ptr<Timer>> delayTimers;
     int accepted = 0;
     int closed = 0;
--- a/stand-ins/raw_target.h
+++ b/stand-ins/raw_target.h
@@ -1,4 +1,5 @@
-// Stand-in for a target whose bytes a test decides: whole answers, cut ones, answers that belong to no request.
+// Stand-in for a target whose response bytes a test chooses: complete responses, truncated ones, and responses that
+// belong to no request.
 #pragma once
 
 #include "relay/connection.h"
@@ -12,40 +13,41 @@
 namespace Parsleytrail::StandIn
 {
 
-/// A request as it came.
+/// A request as received.
 struct RawRequest {
-    std::string head;   ///< whole head
-    std::string body;   ///< whole body
-    int connection = 0; ///< which of the accepted connections, from 1
+    std::string head;   ///< request line and header fields
+    std::string body;   ///< complete body, without transfer coding
+    int connection = 0; ///< number of its connection, in the order of acceptance, from 1
 
     /// Value of a header field; empty if there is none.
     std::string field(std::string_view name) const;
 };
 
-/// What is done to a request.
+/// How the target responds to a request.
 struct RawReply {
-    std::string bytes;     ///< sent as they are
-    bool closes = false;   ///< then the connection is closed in order
-    bool resets = false;   ///< then the connection is reset
-    milliseconds delay{0}; ///< before the bytes
+    std::string bytes;     ///< sent unchanged
+    bool closes = false;   ///< closes the connection after the bytes are written
+    bool resets = false;   ///< resets the connection after the bytes are passed to it
+    milliseconds delay{0}; ///< time before the bytes are sent
 };
 
-/// A target on the loop of its process.
+/// A target that listens on a free local port and runs on the caller's event loop.
 class RawTarget
 {
 public:
+    /// Called for each complete request; its result is sent.
     using Handler = std::function<RawReply(const RawRequest &)>;
 
     RawTarget(EventLoop &loop, Handler handler);
     ~RawTarget();
     Address address() const;
-    /// All requests read, in order.
+    /// All complete requests received, in order.
     const std::vector<RawRequest> &requests() const;
-    /// Connections that the other side has closed.
+    /// Number of connections that the peer has closed.
     int closedConnections() const;
-    /// Sends bytes that nobody asked for on all open connections.
+    /// Sends bytes on all open connections, although no request asks for them.
     void sendUnsolicited(const std::string &bytes);
-    /// Closes all connections in order, as after an idle time.
+    /// Closes all connections without a reset, as after an idle timeout.
     void closeConnections();
 
 private:
@@ -53,7 +55,7 @@
     std::unique_ptr<Private> d;
 };
 
-/// A whole answer with id and seal.
+/// A complete response with the request's X-Attempt-Id and an X-Response-Seal.
 std::string sealedAnswer(const RawRequest &request, const std::string &body, const std::string &statusLine = "HTTP/1.1 200 OK",
                          const std::string &extraFields = {});
 
--- a/stand-ins/registry_entry.h
+++ b/stand-ins/registry_entry.h
@@ -1,4 +1,4 @@
-// Entries of the platform's registry as targets write them, for stand-ins and tests.
+// Rows of the platform's target registry, as targets write them; for stand-ins and tests.
 #pragma once
 
 #include "policy/fleet.h"
@@ -8,7 +8,7 @@
 namespace Parsleytrail::StandIn
 {
 
-/// The row of a target; `heartbeats` counts its writes.
+/// The JSON value of a target's registry row; `heartbeats` is the number of times it has been written.
 inline std::string registryEntry(const RegisteredTarget &target, int heartbeats)
 {
     nlohmann::json entry = {{"service", target.service.value},
--- a/stand-ins/table_store.cpp
+++ b/stand-ins/table_store.cpp
@@ -14,17 +14,18 @@
 
 using Json = nlohmann::json;
 
+/// A row; a deleted one stays, so that watches report the deletion.
 struct StoredRow {
     std::string value;
     std::uint64_t version = 0;
     bool isDeleted = false;
 };
 
-/// A watch that has nothing to tell yet.
+/// A long-polling watch whose table has not changed yet.
 struct OpenWatch {
     ExchangePtr exchange;
     std::string table;
-    std::uint64_t after = 0;
+    std::uint64_t after = 0; ///< reports rows with a later version
     std::unique_ptr<Timer> timeoutTimer;
 };
 
@@ -38,9 +39,9 @@
     std::unique_ptr<HttpServer> server;
     std::map<std::string, std::map<std::string, StoredRow>> tables;
     std::list<OpenWatch> watches;
-    std::vector<ExchangePtr> unanswered;
+    std::vector<ExchangePtr> unanswered; ///< calls kept open because of a fault
     TableStoreFaults faults;
-    std::uint64_t revision = 0;
+    std::uint64_t revision = 0; ///< of the last write to any table
     std::uint64_t calls = 0;
 
     void answer(const ExchangePtr &exchange, int status, Json body);
@@ -72,6 +73,7 @@
     exchange->reply(status, {{"Content-Type", "application/json"}}, body.dump());
 }
 
+/// Rows of the table with a version later than `after`, in the order of their versions.
 Json TableStore::Private::changes(const std::string &table, std::uint64_t after) const
 {
     std::map<std::uint64_t, Json> ordered;
--- a/stand-ins/table_store_main.cpp
+++ b/stand-ins/table_store_main.cpp
@@ -1,4 +1,4 @@
-// stand-in-table-store: the table store of the users' platform as a process.
+// stand-in-table-store: the stand-in for the platform's table store as a program.
 #include "stand-ins/listening_program.h"
 #include "stand-ins/table_store.h"
 
@@ -8,7 +8,7 @@
 
 Usage: stand-in-table-store [--listen=HOST:PORT]
 
-Prints "listening HOST:PORT". stand-ins/table_store.h describes its interface.
+Prints "listening HOST:PORT". stand-ins/table_store.h describes its HTTP interface.
 )";
 
 int main(int argc, char **argv)
--- a/stand-ins/target_host_main.cpp
+++ b/stand-ins/target_host_main.cpp
@@ -1,4 +1,4 @@
-// stand-in-target-host: the engines and plain targets of one data centre as a process, registered in the table store.
+// stand-in-target-host: the engines and plain targets of one data centre in one program, registered in the table store.
 #include "base/text.h"
 #include "http/client.h"
 #include "stand-ins/chain_engines.h"
@@ -16,36 +16,36 @@
 
 ABSL_FLAG(std::string, store, "", "host:port of the table store");
 ABSL_FLAG(std::string, data_center, "dc-1", "data centre of all targets");
-ABSL_FLAG(std::vector<std::string>, engines, {}, "ID=HOST:PORT, the address that is registered, separated by commas");
-ABSL_FLAG(std::vector<std::string>, targets, {}, "the same for plain targets of the service \"shop\"");
-ABSL_FLAG(uint64_t, born, 1000, "start of this process, Unix milliseconds, as registered");
-ABSL_FLAG(uint32_t, work_ms, 20, "time that a plain target works on a request");
+ABSL_FLAG(std::vector<std::string>, engines, {}, "engines as ID=HOST:PORT, separated by commas; HOST:PORT is the address to register");
+ABSL_FLAG(std::vector<std::string>, targets, {}, "plain targets of the service \"shop\", in the same form");
+ABSL_FLAG(uint64_t, born, 1000, "start time of the targets to register, in Unix milliseconds");
+ABSL_FLAG(uint32_t, work_ms, 20, "time that a plain target takes for a request, in milliseconds");
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(stand-in-target-host: engines and plain targets of one data centre, for the soak.
+static constexpr const char *helpText = R"(stand-in-target-host: engines and plain targets of one data centre, for soak tests.
 
 Usage: stand-in-target-host --store=HOST:PORT [--data_center=NAME] [--engines=ID=HOST:PORT,...] [--targets=ID=HOST:PORT,...]
                             [--born=MS] [--work_ms=N]
 
-Prints "listening ID HOST:PORT" for each target, the address at which it really listens; what stands between it and the
-registered address is the caller's. Prints "ran ATTEMPT TARGET" for each request that a plain target ran.
-SIGTERM: the targets are registered as draining, go on for a second, and leave.
+Prints "listening ID HOST:PORT" for each target: the address at which it really listens. Whoever starts the program
+forwards the registered address to it. Prints "ran ATTEMPT TARGET" for each request that a plain target receives.
+On SIGTERM the targets are registered as draining, serve for another second, and are removed from the registry.
 )";
 
-/// Registered this often.
+/// Interval between two registry writes; also the timeout of each.
 constexpr milliseconds heartbeatInterval{300};
-/// Served on after the registry was told that the targets leave.
+/// Time that draining targets still serve before they are removed from the registry.
 constexpr milliseconds drainTime{1000};
 
-/// All targets of the process.
+/// All targets of the process and its connection to the registry.
 struct TargetHost {
     EventLoop loop;
     HttpClient client{loop};
     StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .eventInterval = milliseconds(20), .loadTime = milliseconds(50)}};
     std::map<std::string, std::unique_ptr<StandIn::RawTarget>> targets;
-    std::vector<RegisteredTarget> registered;
-    Address store;
+    std::vector<RegisteredTarget> registered; ///< all targets, with the addresses to register
+    Address store;                            ///< of the table store that holds the registry
     int heartbeats = 0;
     bool isDraining = false;
 };
@@ -59,6 +59,7 @@
     return reply;
 }
 
+/// Writes the registry rows of all targets, or removes them and stops the loop.
 static void writeRows(TargetHost &host, bool isRemoval)
 {
     ++host.heartbeats;
--- a/stand-ins/token_function.cpp
+++ b/stand-ins/token_function.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t beginOfText = 1;
 constexpr std::uint32_t vocabularySize = 4096;
-constexpr std::uint64_t meanTokensPerEnd = 97; ///< chance of an end is one in this many tokens
+constexpr std::uint64_t meanTokensPerEnd = 97; ///< one in this many tokens, on average, ends the response
 
 /// Finaliser of SplitMix64: every input bit changes about half of the output bits.
 static std::uint64_t mix(std::uint64_t x)
