--- a/stand-ins/platform.cpp
+++ b/stand-ins/platform.cpp
@@ -1,4 +1,4 @@
-// Index: [SECTION] State, [SECTION] Tables, [SECTION] Objects and list, [SECTION] Platform
+// Index: [SECTION] State, [SECTION] Tables, [SECTION] Objects and membership, [SECTION] Platform
 #include "stand-ins/platform.h"
 
 #include "base/text.h"
@@ -61,7 +61,7 @@
     std::map<std::string, Table> tables;
     std::map<std::string, std::string> objects;
     std::map<std::string, Member> members;
-    TokenBucket weightBudget{10, 10, 0, {}};
+    TokenBucket weightBudget{10, 10, 0, {}}; ///< limits requests for /weights/
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t refused = 0;
@@ -168,7 +168,7 @@
     return {200, json::object(), "", true};
 }
 
-// [SECTION] Objects and list
+// [SECTION] Objects and membership
 
 Answer Platform::Private::handleObjectRequest(const HttpRequest &request, const std::string &name)
 {
