--- a/stand-ins/target_host_main.cpp
+++ b/stand-ins/target_host_main.cpp
@@ -1,4 +1,4 @@
-// stand-in-target-host: the engines and plain targets of one data centre as a process, registered in the table store.
+// stand-in-target-host: the engines and plain targets of one data centre in one program, registered in the table store.
 #include "base/text.h"
 #include "http/client.h"
 #include "stand-ins/chain_engines.h"
@@ -16,36 +16,36 @@
 
 ABSL_FLAG(std::string, store, "", "host:port of the table store");
 ABSL_FLAG(std::string, data_center, "dc-1", "data centre of all targets");
-ABSL_FLAG(std::vector<std::string>, engines, {}, "ID=HOST:PORT, the address that is registered, separated by commas");
-ABSL_FLAG(std::vector<std::string>, targets, {}, "the same for plain targets of the service \"shop\"");
-ABSL_FLAG(uint64_t, born, 1000, "start of this process, Unix milliseconds, as registered");
-ABSL_FLAG(uint32_t, work_ms, 20, "time that a plain target works on a request");
+ABSL_FLAG(std::vector<std::string>, engines, {}, "engines as ID=HOST:PORT, separated by commas; HOST:PORT is the address to register");
+ABSL_FLAG(std::vector<std::string>, targets, {}, "plain targets of the service \"shop\", in the same form");
+ABSL_FLAG(uint64_t, born, 1000, "start time of the targets to register, in Unix milliseconds");
+ABSL_FLAG(uint32_t, work_ms, 20, "time that a plain target takes for a request, in milliseconds");
 
 using namespace Parsleytrail;
 
-static constexpr const char *helpText = R"(stand-in-target-host: engines and plain targets of one data centre, for the soak.
+static constexpr const char *helpText = R"(stand-in-target-host: engines and plain targets of one data centre, for soak tests.
 
 Usage: stand-in-target-host --store=HOST:PORT [--data_center=NAME] [--engines=ID=HOST:PORT,...] [--targets=ID=HOST:PORT,...]
                             [--born=MS] [--work_ms=N]
 
-Prints "listening ID HOST:PORT" for each target, the address at which it really listens; what stands between it and the
-registered address is the caller's. Prints "ran ATTEMPT TARGET" for each request that a plain target ran.
-SIGTERM: the targets are registered as draining, go on for a second, and leave.
+Prints "listening ID HOST:PORT" for each target: the address at which it really listens. Whoever starts the program
+forwards the registered address to it. Prints "ran ATTEMPT TARGET" for each request that a plain target receives.
+On SIGTERM the targets are registered as draining, serve for another second, and are removed from the registry.
 )";
 
-/// Registered this often.
-constexpr milliseconds heartbeat{300};
-/// Served on after the registry was told that the targets leave.
+/// Interval between two registry writes; also the timeout of each.
+constexpr milliseconds heartbeatInterval{300};
+/// Time that draining targets still serve before they are removed from the registry.
 constexpr milliseconds drainTime{1000};
 
-/// All targets of the process.
+/// All targets of the process and its connection to the registry.
 struct TargetHost {
     EventLoop loop;
     HttpClient client{loop};
-    StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .gap = milliseconds(20), .load = milliseconds(50)}};
+    StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .eventInterval = milliseconds(20), .loadTime = milliseconds(50)}};
     std::map<std::string, std::unique_ptr<StandIn::RawTarget>> targets;
-    std::vector<RegisteredTarget> listed;
-    Address store;
+    std::vector<RegisteredTarget> registered; ///< all targets, with the addresses to register
+    Address store;                            ///< of the table store that holds the registry
     int heartbeats = 0;
     bool isDraining = false;
 };
@@ -59,14 +59,15 @@
     return reply;
 }
 
-static void writeRows(TargetHost &host, bool isGone)
+/// Writes the registry rows of all targets, or removes them and stops the loop.
+static void writeRows(TargetHost &host, bool isRemoval)
 {
     ++host.heartbeats;
     nlohmann::json puts = nlohmann::json::array();
     nlohmann::json removals = nlohmann::json::array();
-    for (RegisteredTarget &target : host.listed) {
+    for (RegisteredTarget &target : host.registered) {
         nlohmann::json row = {{"table", "servers"}, {"part", ""}, {"key", target.id.value}};
-        if (isGone) {
+        if (isRemoval) {
             removals.push_back(row);
             continue;
         }
@@ -79,12 +80,12 @@
     request.method = "POST";
     request.path = "/rows-tx";
     request.body = nlohmann::json{{"expectedRevision", nlohmann::json::array()}, {"puts", puts}, {"remove", removals}}.dump();
-    request.timeout = heartbeat;
-    host.client.fetch(host.store, std::move(request), [&host, isGone](const HttpResult &result) {
+    request.timeout = heartbeatInterval;
+    host.client.fetch(host.store, std::move(request), [&host, isRemoval](const HttpResult &result) {
         if (!result.isOk()) {
             std::cerr << "registry: " << (result.failure ? result.failure->error.toString() : std::to_string(result.status)) << '\n';
         }
-        if (isGone) {
+        if (isRemoval) {
             host.loop.stop();
         }
     });
@@ -113,7 +114,7 @@
         target.accelerator = "small";
         target.slots = 192;
         std::cout << "listening " << target.id.value << " " << host.engines.add(target.id.value, target.address).toString() << std::endl;
-        host.listed.push_back(target);
+        host.registered.push_back(target);
     }
     for (const std::string &text : absl::GetFlag(FLAGS_targets)) {
         BOOST_LEAF_AUTO(target, parseTarget(text));
@@ -124,7 +125,7 @@
             return runRequest(id, request);
         });
         std::cout << "listening " << id << " " << host.targets[id]->address().toString() << std::endl;
-        host.listed.push_back(target);
+        host.registered.push_back(target);
     }
     return {};
 }
@@ -144,20 +145,20 @@
         std::cerr << error.toString() << '\n';
         return 1;
     }
-    Timer tick(host.loop, [&host] {
+    Timer heartbeatTimer(host.loop, [&host] {
         writeRows(host, false);
     });
-    Timer leave(host.loop, [&host, &tick] {
-        tick.stop();
+    Timer removalTimer(host.loop, [&host, &heartbeatTimer] {
+        heartbeatTimer.stop();
         writeRows(host, true);
     });
-    host.loop.onSignal(SIGTERM, [&host, &leave] {
+    host.loop.onSignal(SIGTERM, [&host, &removalTimer] {
         host.isDraining = true;
         writeRows(host, false);
-        leave.start(drainTime);
+        removalTimer.start(drainTime);
     });
     writeRows(host, false);
-    tick.startRepeating(heartbeat);
+    heartbeatTimer.startRepeating(heartbeatInterval);
     host.loop.run();
     return 0;
 }
