--- a/stand-ins/application.h
+++ b/stand-ins/application.h
@@ -1,4 +1,5 @@
-// Stand-in for the booking application: each call adds a booking, so that tests see calls that ran twice.
+// Stand-in for the booking application: every POST /bookings adds a booking, so that tests detect a call
+// that ran twice.
 //
 //   POST /bookings {"wheel"}      201 {"booking": N}; every call creates a new booking
 //   GET  /bookings                {"bookings":[{"booking","wheel","reference"}]}
@@ -6,7 +7,7 @@
 //   ANY  /echo                    returns method, path, query, headers and body of the request as JSON
 //   GET  /bytes?count=N&chunk=M   N bytes, streamed in chunks of M bytes
 //   POST /faults {"crash"?: "none"|"before"|"after", "slow-ms"?}
-//                                 see setCrash and setResponseDelay
+//                                 see setCrash and setResponseDelay; an absent field clears its fault
 #pragma once
 
 #include "base/address.h"
--- a/stand-ins/chain_engines.h
+++ b/stand-ins/chain_engines.h
@@ -2,8 +2,8 @@
 //
 // They implement the engines' HTTP protocol: requests with a chain, reports, orders to load a layer range and orders to
 // move a stream to another chain. The events of a stream are numbered from the one after Last-Event-Id; an event is sent
-// only while every engine of the chain responds and holds its layers. Requests whose chain skips, repeats or swaps a
-// layer are counted.
+// only while every engine of the chain responds and holds its layers. Chains that skip, repeat or swap a layer are
+// accepted and counted.
 #pragma once
 
 #include "base/address.h"
@@ -20,7 +20,7 @@
 /// Settings shared by all engines of a test.
 struct ChainEnginesOptions {
     int layers = 8;                 ///< layers of the model
-    int events = 20;                ///< events in a complete response, from id 1
+    int events = 20;                ///< events in a complete response, numbered from 1
     milliseconds eventInterval{10}; ///< time between two events of a stream
     milliseconds loadTime{30};      ///< time to load a layer range after an order
     milliseconds stallTimeout{600}; ///< a stream whose chain has an unavailable engine is closed after this time
@@ -55,11 +55,11 @@
     int openStreams() const;
     /// Orders to move a stream that were executed.
     int movedStreams() const;
-    /// Orders to load a range that were accepted, and that were refused because the engine was busy or the expected number
-    /// of orders was not the actual one.
+    /// Orders to load a range that were accepted, and that were refused because the engine was busy or had
+    /// accepted another number of orders than the sender expected.
     int acceptedPlacements() const;
     int refusedPlacements() const;
-    /// Chains received (with a request or a move) that did not cover every layer once and in order.
+    /// Chains accepted with a new stream or with an order to move one that did not cover every layer once and in order.
     int invalidChains() const;
 
 private:
--- a/stand-ins/engine.cpp
+++ b/stand-ins/engine.cpp
@@ -49,7 +49,7 @@
     Timer stepTimer;
     std::deque<PendingStep> queuedSteps;
     std::vector<PendingStep> runningSteps;
-    std::vector<json> runningResults; ///< of runningSteps, in the same order
+    std::vector<json> runningResults; ///< results of runningSteps, in the same order
     std::unordered_map<std::string, LayerState> streams;
     std::list<std::uint64_t> prefixes; ///< hashes of cached prompts, most recently used first
     std::deque<CacheEvent> events;
--- a/stand-ins/engine.h
+++ b/stand-ins/engine.h
@@ -4,14 +4,14 @@
 //   POST /engine/v1/step    {"items":[{"stream","position","reset","model","version","adapter","prompt"?,"tokens"?,
 //                           "activations"?,"promptLength"?,"priority"}]}
 //                        -> {"items":[{"stream","promptLength","positions","activations"?,"tokens"?:[[id,text,end]],"error"?}]}
-//   POST /engine/v1/cancel  {"streams":[...]}
+//   POST /engine/v1/cancel  {"streams":[...]}; drops these streams
 //   POST /engine/v1/orders  {"fencing","action":"load"|"unload"|"role",...}
 //                           409 for an old fencing number if checksFencing is set
 //   GET  /engine/v1/kv?stream=S, PUT /engine/v1/kv   exports and imports the state of a stream
 //   GET  /engine/v1/events?since=N                    prefix cache events after N; only the latest are kept, so a slow
 //                                                     reader sees gaps
 //   GET  /engine/v1/status                            load, up to reportLag old
-//   POST /engine/v1/faults  {"crash-on"?, "hang"?, "slow"?, "die"?}
+//   POST /engine/v1/faults  {"crash-on"?, "hang"?, "slow"?: factor, "die"?}; see the fault functions of Engine
 #pragma once
 
 #include "base/address.h"
@@ -28,7 +28,7 @@
 
 /// Identity, layers and simulated costs of an engine.
 struct EngineOptions {
-    std::string id = "engine";           ///< engine name in step records
+    std::string id = "engine";           ///< id of the engine in step records
     Weights weights;                     ///< model and version loaded; the adapter is chosen by each item
     std::vector<std::string> adapters;   ///< adapters loaded
     std::uint32_t layerBegin = 0;        ///< first layer held
@@ -74,7 +74,7 @@
     void crashOn(std::string text);        ///< the engine dies in the first step with a prompt that contains this text
     void setHanging(bool isHanging);       ///< accepts steps but does not respond until the flag is cleared
     void setSlowdownFactor(double factor); ///< multiplies the duration of steps
-    void die();                            ///< closes the port and drops all streams and queued steps
+    void die();                            ///< closes the port and drops all streams and all queued and running steps
 
 private:
     struct Private;
--- a/stand-ins/platform.cpp
+++ b/stand-ins/platform.cpp
@@ -61,7 +61,7 @@
     std::map<std::string, Table> tables;
     std::map<std::string, std::string> objects;
     std::map<std::string, Member> members;
-    TokenBucket weightBudget{10, 10, 0, {}}; ///< limits requests for /weights/
+    TokenBucket weightBudget{10, 10, 0, {}}; ///< limits requests to /weights/ to 10 per second, with bursts of 10
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
     std::uint64_t refused = 0;
--- a/stand-ins/platform.h
+++ b/stand-ins/platform.h
@@ -7,7 +7,7 @@
 //   DELETE /tables/T/rows/K?if-version=N
 //   POST /transactions                    {"writes":[{"table","key","value","if-version"}]}; all writes or none;
 //                                         409 if a version differs
-//   PUT  /objects/N (201; 200 if it exists, which keeps the old content), GET /objects/N
+//   PUT  /objects/N (201; 200 if the object exists: its content stays unchanged), GET /objects/N
 //   GET  /membership, PUT /membership/ID {"role","host","port","state"}, DELETE /membership/ID
 //   GET  /weights/N                       429 above the rate limit
 //   POST /faults                          {"down"?, "silent"?, "slow-ms"?, "lose-answers"?: count, "list-lag-ms"?};
@@ -43,7 +43,8 @@
     /// Listens on the address; port 0 picks a free one. Returns the bound address.
     Result<Address> listen(const Address &address);
     PlatformFaults &faults();
-    /// GET requests and other requests handled; those refused because of a fault don't count.
+    /// Number of GET requests (reads) and of all other requests (writes). Requests refused because of a fault and requests
+    /// to /faults and /counters don't count.
     std::uint64_t reads() const;
     std::uint64_t writes() const;
     /// Adds an instance to the membership list or replaces it; visible at once unless membershipLag is set.
--- a/stand-ins/table_store.cpp
+++ b/stand-ins/table_store.cpp
@@ -41,7 +41,7 @@
     std::list<OpenWatch> watches;
     std::vector<ExchangePtr> unanswered; ///< calls kept open because of a fault
     TableStoreFaults faults;
-    std::uint64_t revision = 0; ///< of the last write to any table
+    std::uint64_t revision = 0; ///< revision of the last write to any table
     std::uint64_t calls = 0;
 
     void answer(const ExchangePtr &exchange, int status, Json body);
--- a/stand-ins/table_store.h
+++ b/stand-ins/table_store.h
@@ -2,7 +2,8 @@
 //
 // HTTP interface (JSON):
 //   GET  /rows-get?table=&from=&to=        rows of a key range
-//   GET  /rows-feed?table=&after=&waitMs=  long poll for rows changed after a revision; 410 if the history is gone
+//   GET  /rows-feed?table=&after=&waitMs=  long poll for rows changed after a revision; 410 if the store no longer
+//                                          has the changes since then
 //   POST /rows-tx {"expectedRevision":[...],"puts":[...],"remove"?:[...]}
 //                                        all changes or none; 412 if a row has another version
 #pragma once
@@ -22,7 +23,7 @@
     bool isDown = false;                 ///< every call is answered with 503
     bool isUnresponsive = false;         ///< calls are accepted but never answered
     bool leavesWritesUnanswered = false; ///< transactions take effect but get no response
-    bool hasNoChangeHistory = false;     ///< watches are answered with 410
+    bool hasNoChangeHistory = false;     ///< watches are answered with 410, as if the changes were no longer stored
 };
 
 /// The store's HTTP server; runs on the caller's event loop.
--- a/stand-ins/target_host_main.cpp
+++ b/stand-ins/target_host_main.cpp
@@ -45,7 +45,7 @@
     StandIn::ChainEngines engines{loop, {.layers = 8, .events = 20, .eventInterval = milliseconds(20), .loadTime = milliseconds(50)}};
     std::map<std::string, std::unique_ptr<StandIn::RawTarget>> targets;
     std::vector<RegisteredTarget> registered; ///< all targets, with the addresses to register
-    Address store;                            ///< of the table store that holds the registry
+    Address store;                            ///< address of the table store that holds the registry
     int heartbeats = 0;
     bool isDraining = false;
 };
