--- a/bench/history_checker.cpp
+++ b/bench/history_checker.cpp
@@ -149,7 +149,8 @@
     }
 }
 
-/// Checks that no non-idempotent request is handed over twice, and that nothing is booked twice.
+/// Checks that sidecars hand no non-idempotent request over to an application twice, and that the application books no
+/// reference twice.
 void checkAtMostOnce(const std::vector<json> &events, ViolationCollector &collector)
 {
     std::map<std::string, int> handedOver;
@@ -187,7 +188,7 @@
     }
 }
 
-/// Checks that a process that has drained had no open requests.
+/// Checks that no request was still open when a process reported the end of its drain.
 void checkStops(const std::vector<json> &events, ViolationCollector &collector)
 {
     for (const json &event : events) {
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -67,7 +67,7 @@
     std::uint64_t withinTargets = 0; ///< answered, with the first token and the mean time between tokens within their targets
     TimeHistogram firstToken;
     TimeHistogram betweenTokens;
-    TimeHistogram completeResponse; ///< from sending to the end, right and wrong responses
+    TimeHistogram completeResponse; ///< time from sending to the end of a complete response, correct or wrong
 };
 
 /// A request that has not ended.
@@ -79,7 +79,7 @@
     bool hasDone = false;                           ///< [DONE] was received
     std::chrono::steady_clock::time_point sentAt{}; ///< when the request was sent
     std::chrono::steady_clock::time_point lastAt{}; ///< when the last token was received
-    double firstTokenSeconds = 0;                   ///< from sending to the first token
+    double firstTokenSeconds = 0;                   ///< time from sending to the first token
     std::uint32_t tokens = 0;                       ///< events with text
 };
 
--- a/tests/faults_test.cpp
+++ b/tests/faults_test.cpp
@@ -329,7 +329,7 @@
 
 BOOST_AUTO_TEST_CASE(the_checker_fails_for_each_promise)
 {
-    // Events that break one promise are added to the history of a clean run: the checker must report a violation of that promise.
+    // Events that violate one guarantee are added to the history of a clean run: the checker must report a violation of that guarantee.
     // Guards against a checker that passes whatever happens.
     Cluster cluster;
     const AnswerPtr answer = cluster.requestCompletion("clean", 10);
--- a/tests/process_test.py
+++ b/tests/process_test.py
@@ -90,8 +90,8 @@
         self.assertEqual(result["cut"], 0)
 
     def test_an_entry_is_killed_under_load(self):
-        """SIGKILL: responses of its callers are truncated, and detectably so; responses through the other entry are complete, and
-        the sidecars free the streams."""
+        """SIGKILL: responses of its callers are truncated without [DONE] or refused, but none is wrong. Responses through the other
+        entry are complete, and the sidecars release the streams of the killed entry."""
         with system(engine_flags=SLOW_ENGINES) as running:
             running.apply(running.configuration())
             running.wait_ready()
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -8,7 +8,7 @@
 
 from system import CALLER_KEY, System
 
-# Sizes of the systems that users run at present: about forty engines in three data centres, three applications.
+# Sizes of the systems that users run: about forty engines in three data centres, three applications.
 DEPLOYMENTS = {
     "draaischijf": {"holders": 13, "entries": 3, "applications": 3},
     "drumback": {"holders": 13, "entries": 3, "applications": 3},
@@ -42,7 +42,7 @@
 
 
 def idle_cost(system, name, seconds):
-    """Resources that one process uses without load: percent of a core, private memory in MiB, datagram bytes per second in both
+    """Resources that one process uses without load: processor time in percent of a core, private memory in MiB, datagram bytes per second in both
     directions, store calls per second."""
     before, cpu = process_state(system, name), system.processes[name].cpu_seconds()
     time.sleep(seconds)
@@ -196,7 +196,7 @@
 
 
 def run_with_failure(options, inject_failure):
-    """Injects a failure a third into a load; returns the load's figures and the metrics texts of the entries still running."""
+    """Injects a failure after a third of the duration of a load; returns the load's figures and the metrics texts of the entries still running."""
     shape = {**DEPLOYMENTS[options.deployment], "holders": 4}
     with System(**shape, engine_flags=("--step_micros=3000",), entry_settings={"announce-interval": "200ms", "silence-timeout": "1s"},
                 sidecar_settings={"announce-interval": "200ms"}) as system:
@@ -275,7 +275,7 @@
 
 
 def overload(options):
-    """Responses in time per second at 1, 2 and 3 times the saturating load, without and with a target for the time between tokens."""
+    """Responses per second within the latency targets, at 1, 2 and 3 times the saturating load, without and with between-tokens-target."""
     # A step takes 4 ms plus 0.2 ms per stream at each of three stages: 39 ms between tokens with some 45 streams on each
     # chain. The p95 of the time between tokens exceeds 39 ms at some 45 requests/s.
     saturation = 45
