--- a/stand-ins/chain_engines.h
+++ b/stand-ins/chain_engines.h
@@ -55,11 +55,11 @@
     int openStreams() const;
     /// Orders to move a stream that were executed.
     int movedStreams() const;
-    /// Orders to load a range that were accepted, and that were refused because the engine was busy or had
-    /// accepted another number of orders than the sender expected.
+    /// Orders to load a range: accepted ones, and ones refused because the engine was busy or the number of orders that it
+    /// had accepted was not the expected one.
     int acceptedPlacements() const;
     int refusedPlacements() const;
-    /// Chains accepted with a new stream or with an order to move one that did not cover every layer once and in order.
+    /// Accepted chains, of new streams and of orders to move a stream, that did not cover every layer once and in order.
     int invalidChains() const;
 
 private:
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -42,8 +42,8 @@
 
 
 def idle_cost(system, name, seconds):
-    """Resources that one process uses without load: processor time in percent of a core, private memory in MiB, datagram bytes per second in both
-    directions, store calls per second."""
+    """Resources that one process uses without load: processor time in percent of a core, private memory in MiB, datagram bytes
+    per second in both directions, store calls per second."""
     before, cpu = process_state(system, name), system.processes[name].cpu_seconds()
     time.sleep(seconds)
     after, used = process_state(system, name), system.processes[name].cpu_seconds() - cpu
@@ -196,7 +196,8 @@
 
 
 def run_with_failure(options, inject_failure):
-    """Injects a failure after a third of the duration of a load; returns the load's figures and the metrics texts of the entries still running."""
+    """Injects a failure after a third of the duration of a load; returns the load's figures and the metrics texts of the entries
+    still running."""
     shape = {**DEPLOYMENTS[options.deployment], "holders": 4}
     with System(**shape, engine_flags=("--step_micros=3000",), entry_settings={"announce-interval": "200ms", "silence-timeout": "1s"},
                 sidecar_settings={"announce-interval": "200ms"}) as system:
