--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -23,7 +23,7 @@
     Address address{std::string(text.substr(0, colon)), port};
     in_addr parsed{};
     if (inet_pton(AF_INET, address.host.c_str(), &parsed) != 1) {
-        return fail("read address", std::string(text), "expected an IPv4 address before the colon");
+        return fail("read address", std::string(text), "expected an IPv4 number before the colon");
     }
     return address;
 }
--- a/src/base/ini.cpp
+++ b/src/base/ini.cpp
@@ -129,14 +129,14 @@
     IniSection &current = state.file.sections.back();
     for (const IniEntry &entry : current.entries) {
         if (entry.key == name) {
-            addProblem(state, current.name, name, absl::StrCat("expected the key once; it is set at line ", entry.line, " already"));
+            addProblem(state, current.name, name, absl::StrCat("expected the key once; it stands at line ", entry.line, " already"));
             return 1;
         }
     }
     std::string text = state.longValue.value_or(value);
     if (text.starts_with(';')) {
         // "key =;..." gives a value that starts with ";" here. The canonical text puts a space before it, which makes it a comment.
-        addProblem(state, current.name, name, "expected a value, or a comment with a space before the ;");
+        addProblem(state, current.name, name, "expected a value, or a comment with a blank before the ;");
         return 1;
     }
     current.entries.push_back({name, std::move(text), state.line});
