--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -120,7 +120,7 @@
         }
     }
     /// Whether all sizes were within the limits that Reader checks, so that the message can be decoded.
-    bool isWhole() const
+    bool isWithinLimits() const
     {
         return m_isWithinLimits;
     }
