--- a/src/base/history.h
+++ b/src/base/history.h
@@ -17,7 +17,7 @@
 /// One field of a history event.
 struct HistoryField {
     const char *name;                               ///< JSON key
-    std::variant<std::string, std::uint64_t> value; ///< value
+    std::variant<std::string, std::uint64_t> value; ///< JSON value
 };
 
 /// Recorder of the events of one process.
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -31,12 +31,12 @@
     auto operator<=>(const Number &) const = default;
 };
 
-using RequestId = Name<struct RequestIdTag>;         ///< request of a caller, unique in the system
-using TargetId = Name<struct TargetIdTag>;           ///< an engine or application, with its sidecar
-using EntryId = Name<struct EntryIdTag>;             ///< a process that callers send requests to
-using ModelName = Name<struct ModelNameTag>;         ///< a model of the configuration
-using ServiceName = Name<struct ServiceNameTag>;     ///< a service of the configuration
-using WorkspaceName = Name<struct WorkspaceNameTag>; ///< a workspace of the configuration
+using RequestId = Name<struct RequestIdTag>;         ///< id of a request of a caller, unique in the system
+using TargetId = Name<struct TargetIdTag>;           ///< id of an engine or application and of its sidecar
+using EntryId = Name<struct EntryIdTag>;             ///< id of an entry, the process that callers send requests to
+using ModelName = Name<struct ModelNameTag>;         ///< name of a model of the configuration
+using ServiceName = Name<struct ServiceNameTag>;     ///< name of a service of the configuration
+using WorkspaceName = Name<struct WorkspaceNameTag>; ///< name of a workspace of the configuration
 
 using Incarnation = Number<struct IncarnationTag, std::uint64_t>;                   ///< start of a process, microseconds since 1970; higher for a later start
 using Attempt = Number<struct AttemptTag, std::uint32_t>;                           ///< attempt at a request, counted from 1
--- a/src/base/ini.h
+++ b/src/base/ini.h
@@ -27,8 +27,8 @@
 
 /// One key with its value.
 struct IniEntry {
-    std::string key;   ///< as written
-    std::string value; ///< without surrounding whitespace
+    std::string key;   ///< key as written in the text
+    std::string value; ///< value without surrounding whitespace
     int line = 0;      ///< line number from 1
 };
 
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -63,7 +63,7 @@
 template<typename T>
 struct Described {
     T value{};        ///< current value
-    std::string help; ///< one sentence
+    std::string help; ///< help text, one sentence
 };
 
 struct Metrics::Private {
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -20,7 +20,7 @@
 
 // [SECTION] Responses
 
-/// Prints a failed request and returns the exit status for it.
+/// Prints why a request failed and returns the exit status for it.
 static int reportFailure(const CtlOptions &options, const HttpResult &result)
 {
     if (result.failure) {
@@ -210,12 +210,12 @@
         std::cout << "changes against version " << inForce.version.value << ":\n";
         printChanges(differencesToJson(compareConfigurations(inForce, proposed)));
     }
-    // The entry replaces only the version that the changes were shown against: if another operator applied a file in the meantime,
-    // this one is refused instead of overwriting it.
+    // The entry replaces only version `base`, which is the one that the changes were shown against unless --at_version names
+    // another: if another operator applied a file in the meantime, this one is refused instead of overwriting it.
     const std::string path = std::string("/operator/v1/configuration") + (options.isDryRun ? "?dry-run" : "");
     const HttpResult result = sendOperatorRequest(options.endpoint, "PUT", path, text, {{"If-Match", "\"" + std::to_string(base) + "\""}});
     if (result.failure && result.failure->mayHaveBeenSent) {
-        std::cerr << "no response from the entry: the file may have been accepted; check with `parsleyctl history`\n";
+        std::cerr << "no response from the entry: the file may have been accepted or may still be; check with `parsleyctl history`\n";
         return ExitUnknown;
     }
     if (!result.isOk()) {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -20,8 +20,8 @@
 
 /// A persistent connection and the state of its current request.
 struct HttpConnection {
-    evhttp_connection *raw = nullptr; ///< owned
-    Address address;                  ///< of the server
+    evhttp_connection *raw = nullptr; ///< owned connection of evhttp
+    Address address;                  ///< address of the server
     bool isFresh = true;              ///< the current request is the first on this connection
     bool hasWritten = false;          ///< a byte of the current request was written to the socket
 
@@ -182,7 +182,7 @@
         handlers.onData(bytes);
     }
     if (isPaused && connection) {
-        // evhttp enables reading again after this callback returns, so that reading is disabled in a deferred call.
+        // evhttp enables reading again after this callback returns, so reading is disabled in a deferred call.
         client->loop.defer([self = shared_from_this()] {
             if (self->isPaused && self->connection) {
                 bufferevent_disable(evhttp_connection_get_bufferevent(self->connection->raw), EV_READ);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -21,7 +21,7 @@
     std::string path = "/";             ///< including the query
     HttpHeaders headers;                ///< in addition to Host and Content-Length
     std::string body;                   ///< complete body
-    milliseconds timeout{5000};         ///< until the response is complete
+    milliseconds timeout{5000};         ///< longest wait until the response is complete
     bool useFreshConnection = false;    ///< opens a new connection instead of reusing an idle one; see HttpFailure::mayHaveBeenSent
     std::size_t maxBodyBytes = 8 << 20; ///< a longer response body fails the request
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -17,7 +17,7 @@
 namespace Parsleytrail
 {
 
-constexpr int sweepsPerIdleTimeout = 5; ///< how often idle connections are looked for within idleTimeout
+constexpr int sweepsPerIdleTimeout = 5; ///< number of checks for idle connections within idleTimeout
 
 // [SECTION] Exchange
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -40,7 +40,7 @@
     std::string id;         ///< id of the entry or target
     std::string role;       ///< entry or sidecar
     Address address;        ///< host and peer port
-    bool isLeaving = false; ///< marked as about to stop
+    bool isLeaving = false; ///< marked as leaving in the list
 };
 
 /// Rate limits and timeout of a process's calls to the store.
--- a/src/wire/frame.h
+++ b/src/wire/frame.h
@@ -1,6 +1,6 @@
 // Frame: a header and an encoded message, on a link or in a datagram. Layout of the header:
 //
-//     offset 0  u16  magic 0x5054      refuses data of other protocols
+//     offset 0  u16  magic 0x5054      data of other protocols is refused at once
 //            2  u16  wire version      that the payload is written in
 //            4  u16  message id
 //            6  u16  0                 reserved
