--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -394,7 +394,7 @@
 {
     StreamFailure failure;
     failure.isQuarantined = true;
-    fail(stream, {error.step, error.peer, "the input was in flight at two separate engine crashes"}, failure);
+    fail(stream, {error.step, error.peer, "the input was in flight at two separate deaths of engines"}, failure);
 }
 
 void Streams::Private::handleStageFailure(const StageFailed &frame)
@@ -580,7 +580,7 @@
         [&target](const StageAddress &stage) {
             return stage.target == target;
         },
-        {"hear from target", target.value, "timed out, restarted or lost its engine"}, false);
+        {"hear from target", target.value, "silent or restarted"}, false);
 }
 
 void Streams::handleTargetsChanged()
--- a/src/policy/configuration.cpp
+++ b/src/policy/configuration.cpp
@@ -157,7 +157,7 @@
         const auto [other, isNew] = configuration.workspaceByKeyDigest.emplace(digest, name);
         if (!isNew) {
             problems.push_back({section, "key-digests", line(section, "key-digests"),
-                                absl::StrCat("expected a key digest that no other workspace has; workspace ", other->second, " has it too")});
+                                absl::StrCat("expected a key of its own; workspace ", other->second, " has the same")});
         }
     }
 }
--- a/src/sidecar/calls.cpp
+++ b/src/sidecar/calls.cpp
@@ -198,7 +198,7 @@
     const bool isKnown = find(head.request) != nullptr;
     if (isKnown) {
         // An entry sends a request to a target only once. Accepting the same id again would run the request twice.
-        link->send(CallFailed{head.request, Outcome::Unknown, "begin call", "a call with this request id is already open"});
+        link->send(CallFailed{head.request, Outcome::Unknown, "begin call", "the request is known already"});
         return;
     }
     SidecarCall &call = calls[head.request];
@@ -208,7 +208,7 @@
         return fail(head.request, Outcome::NotRun, "begin call", "draining");
     }
     if (head.bodyBytes > static_cast<std::uint64_t>(context.settings.maxBodyBytes)) {
-        return fail(head.request, Outcome::NotRun, "begin call", "the body exceeds max-body-bytes");
+        return fail(head.request, Outcome::NotRun, "begin call", "body over max-body-bytes");
     }
     if (calls.size() > static_cast<std::size_t>(context.settings.maxStreams)) {
         return fail(head.request, Outcome::NotRun, "begin call", "max-streams reached");
@@ -227,13 +227,13 @@
     }
     call->body += part.data;
     if (call->body.size() > call->head.bodyBytes) {
-        return fail(part.request, Outcome::NotRun, "collect body", "the body is longer than announced");
+        return fail(part.request, Outcome::NotRun, "collect body", "longer than announced");
     }
     if (!part.last) {
         return;
     }
     if (call->body.size() != call->head.bodyBytes) {
-        return fail(part.request, Outcome::NotRun, "collect body", "the body is shorter than announced");
+        return fail(part.request, Outcome::NotRun, "collect body", "shorter than announced");
     }
     handOver(*call);
 }
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -191,7 +191,7 @@
         }
     } else {
         const json response = json::parse(result.body, nullptr, false);
-        failedStep.error = "malformed response with status " + std::to_string(result.status);
+        failedStep.error = "malformed answer with status " + std::to_string(result.status);
         try {
             for (const json &item : response.at("items")) {
                 results.push_back(decodeItem(item));
