--- a/src/entry/configuration_manager.cpp
+++ b/src/entry/configuration_manager.cpp
@@ -20,7 +20,7 @@
 constexpr const char *historyTable = "configuration-history";
 constexpr const char *objectPrefix = "configuration-";
 constexpr std::size_t maxChangesSinceSnapshot = 32; ///< limits the objects that a process reads when it starts without peers
-constexpr int maxTransactAttempts = 4;              ///< for one file, if responses of the store are lost
+constexpr int maxTransactAttempts = 4;              ///< attempts to write one file's object and rows, if responses of the store are lost
 
 namespace
 {
@@ -28,7 +28,7 @@
 /// Contents of the row that names the current configuration.
 struct CurrentRow {
     ConfigurationVersion version;     ///< the row's version in the store
-    std::string digest;               ///< of the configuration
+    std::string digest;               ///< digest of the configuration
     std::vector<std::string> objects; ///< digests of objects: a snapshot, then changes
     std::string writeId;              ///< identifies the write that produced this row
 };
@@ -121,7 +121,7 @@
     ConfigurationVersion peerVersion; ///< newest version announced by a ready peer
     bool hasReadyPeer = false;
     bool isPolling = false;
-    std::uint64_t bytesSent = 0; ///< of section texts
+    std::uint64_t bytesSent = 0; ///< bytes of section texts sent to peers and sidecars
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
     void activate(Configuration fresh);
--- a/src/entry/configuration_manager.h
+++ b/src/entry/configuration_manager.h
@@ -35,7 +35,7 @@
 /// An accepted version in the configuration history.
 struct HistoryEntry {
     ConfigurationVersion version;     ///< number of the version
-    std::string digest;               ///< of the configuration
+    std::string digest;               ///< digest of the configuration
     std::string entry;                ///< entry that accepted it
     std::string time;                 ///< UTC, RFC 3339
     std::vector<std::string> changes; ///< "+section", "-section", "~section"
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -15,7 +15,7 @@
 
 constexpr milliseconds tickInterval{50};
 constexpr milliseconds sidecarAnnounceInterval{10000}; ///< between announcements of this entry to sidecars
-constexpr milliseconds finalWriteTimeout{5000};        ///< at the end of a drain, for writes to the store
+constexpr milliseconds finalWriteTimeout{5000};        ///< longest wait for writes to the store at the end of a drain
 
 // [SECTION] Components
 
--- a/src/entry/keyed_calls.cpp
+++ b/src/entry/keyed_calls.cpp
@@ -15,7 +15,7 @@
 // [SECTION] Rows
 
 constexpr const char *callTable = "calls";
-constexpr int maxInsertAttempts = 3;             ///< for one row, if responses of the store are lost
+constexpr int maxInsertAttempts = 3;             ///< attempts to insert one row, if responses of the store are lost
 constexpr milliseconds graceAfterDeadline{5000}; ///< after its deadline a call counts as running for this long, then as lost
 constexpr milliseconds writeRetryInterval{500};  ///< between attempts to write one outcome
 
@@ -25,7 +25,7 @@
 /// Contents of a key's row.
 struct KeyRow {
     std::string state;           ///< started, answered, not-run or unknown
-    std::string bodyDigest;      ///< see CallKey
+    std::string bodyDigest;      ///< as in CallKey
     std::string writeId;         ///< identifies the insert
     std::int64_t startedMs = 0;  ///< wall time, Unix epoch
     std::int64_t deadlineMs = 0; ///< longest time the call may take
@@ -75,7 +75,7 @@
 /// A key that a call of this entry has reserved.
 struct HeldKey {
     KeyRow row;                ///< contents in the store, or to be written there
-    std::uint64_t version = 0; ///< of the row in the store
+    std::uint64_t version = 0; ///< version of the row in the store
     bool isRunning = true;     ///< finish() has not been called yet
     bool isWriting = false;    ///< a write of the outcome is in progress
     TimePoint nextWrite{};     ///< earliest time of the next attempt
--- a/src/entry/keyed_calls.h
+++ b/src/entry/keyed_calls.h
@@ -2,7 +2,7 @@
 // at any entry and does not run a second time.
 //
 // The row is inserted before the call is made. An insert whose response was lost is recognised by its write id. Without the
-// store an entry can't tell whether a key was used, so it makes no keyed calls then.
+// store an entry can't tell whether a key was used: it then refuses keyed calls with the outcome `unknown`.
 #pragma once
 
 #include "entry/context.h"
@@ -14,10 +14,10 @@
 
 /// A caller's idempotency key and the call it stands for.
 struct CallKey {
-    WorkspaceName workspace;  ///< of the caller
-    ServiceName service;      ///< called
+    WorkspaceName workspace;  ///< workspace of the caller
+    ServiceName service;      ///< service that is called
     std::string key;          ///< value of Idempotency-Key
-    std::string bodyDigest;   ///< of method, path and body; a key is refused for any other call
+    std::string bodyDigest;   ///< digest of method, path and body; the key is refused for a call with another one
     milliseconds deadline{0}; ///< longest time the call may take
 };
 
--- a/src/entry/peers.h
+++ b/src/entry/peers.h
@@ -44,7 +44,8 @@
     /// process was paused or its loop was blocked before the call; it doesn't count towards the timeout.
     void tick(milliseconds processPause);
 
-    /// Entries that changes are sent to at once: up to peersInDataCenter in this data centre, up to peersOutside elsewhere.
+    /// Entries that configuration changes and suspicion notices are sent to: up to peersInDataCenter in this data centre and up to
+    /// peersOutside elsewhere. These forward them in turn.
     std::vector<Address> fanOut() const;
     const std::map<EntryId, PeerView> &views() const;
 
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -39,7 +39,7 @@
     std::uint32_t tried = 0;       ///< number of targets tried
     std::set<TargetId> excluded;   ///< targets that this call was sent to
     bool hasHead = false;          ///< the response head was received
-    std::size_t uncredited = 0;    ///< response bytes received and not yet credited to the sidecar
+    std::size_t uncredited = 0;    ///< response bytes received for which the sidecar has been sent no credit yet
     std::optional<CallKey> key;    ///< set if the call has an Idempotency-Key
     StoredResponse storedResponse; ///< response so far, to be stored for the key
     bool isTooLongToStore = false; ///< the response body exceeds maxStoredBodyBytes
--- a/src/entry/targets.h
+++ b/src/entry/targets.h
@@ -54,7 +54,7 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr milliseconds removeTargetAfter{60000};        ///< without a message, and with nothing open there by this entry
+constexpr milliseconds removeTargetAfter{60000};        ///< a target is removed after this long without a message, unless this entry has work open there
 constexpr milliseconds configurationPushInterval{1000}; ///< between pushes of configuration to one target
 
 } // namespace Parsleytrail
--- a/src/entry/usage_recorder.cpp
+++ b/src/entry/usage_recorder.cpp
@@ -26,8 +26,8 @@
 
 /// A row as it is in the store.
 struct WrittenRow {
-    std::uint64_t version = 0; ///< of the row; 0 if it doesn't exist
-    std::string value;         ///< last successfully written or read
+    std::uint64_t version = 0; ///< version of the row; 0 if it doesn't exist
+    std::string value;         ///< value last written successfully or read
 };
 
 json encodeCounters(const UsageKey &key, const UsageCounters &counters)
@@ -74,7 +74,7 @@
     Store &store;
     UsageLedger ledger;
     std::unordered_map<RequestId, PendingUsage> pendingUsage;
-    std::map<std::string, WrittenRow> written; ///< by row key
+    std::map<std::string, WrittenRow> written; ///< this incarnation's rows in the store, by row key
     bool isDirty = false;
     bool isWriting = false;
     TimePoint nextFlush{};
--- a/src/entry/usage_recorder.h
+++ b/src/entry/usage_recorder.h
@@ -16,9 +16,9 @@
 
 /// What a piece of work is counted under; the recorder adds the hour.
 struct UsageOwner {
-    WorkspaceName workspace; ///< of the caller
-    ServiceName service;     ///< named by the caller
-    ModelName model;         ///< empty for plain services
+    WorkspaceName workspace; ///< workspace of the caller
+    ServiceName service;     ///< service that the caller named
+    ModelName model;         ///< model of the service; empty for plain services
     double worth = 0;        ///< value of one answered request
 };
 
@@ -54,7 +54,7 @@
 };
 
 constexpr std::size_t maxKeysPerRow = 200;       ///< combinations of workspace, service and model in one row: about 40 KB
-constexpr milliseconds stageUsageTimeout{10000}; ///< after expectUsage(): how long reports of accelerator time are counted
+constexpr milliseconds stageUsageTimeout{10000}; ///< time after expectUsage() during which reports of accelerator time are counted
 constexpr int maxReportRows = 100000;            ///< rows read for one report
 
 } // namespace Parsleytrail
--- a/src/sidecar/announcer.cpp
+++ b/src/sidecar/announcer.cpp
@@ -14,7 +14,7 @@
 /// An entry learnt of from its announcements or the membership list.
 struct KnownEntry {
     TimePoint lastReceivedAt{}; ///< latest announcement or listing
-    Incarnation incarnation;    ///< of its latest announcement; 0 if it was only listed
+    Incarnation incarnation;    ///< incarnation in its latest announcement; 0 if it was only listed
 };
 
 } // namespace
--- a/src/sidecar/calls.h
+++ b/src/sidecar/calls.h
@@ -35,6 +35,6 @@
     std::unique_ptr<Private> d;
 };
 
-constexpr std::size_t callWindowBytes = 256 << 10; ///< flow control: response bytes of a call sent to the entry and not yet credited
+constexpr std::size_t callWindowBytes = 256 << 10; ///< flow control: most response bytes of a call that may be sent to the entry and not yet be credited by it
 
 } // namespace Parsleytrail
--- a/src/sidecar/stages.cpp
+++ b/src/sidecar/stages.cpp
@@ -22,7 +22,7 @@
 /// A stream: its protocol state, which does no I/O, and what connects it to the entry and the engine.
 struct SidecarStream {
     StageStream core;                         ///< protocol state: positions and results
-    OpenStage open;                           ///< of the newest attempt
+    OpenStage open;                           ///< request that opened the newest attempt
     LinkPtr entry;                            ///< receives failures and tokens; null once it closed
     TimePoint orphanedAt{};                   ///< when the link to the entry closed
     std::uint64_t generation = 0;             ///< changes when the stream is opened anew or starts over; results of steps of other generations are ignored
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -263,8 +263,8 @@
 
 BOOST_AUTO_TEST_CASE(a_replaced_stage_is_closed_at_once)
 {
-    // The engine of a stage hangs and the stage is replaced. Its sidecar, which is healthy, must be told to close the stream at
-    // once and not only at the end of the response, so that its engine can use the memory when it recovers.
+    // The engine of a stage hangs and the stage is replaced. Its sidecar, which is healthy, must receive CloseStream at once and not
+    // only at the end of the response, so that its engine can use the memory when it recovers.
     Cluster cluster(slowEngines(milliseconds(300)));
     AnswerPtr answer = cluster.requestCompletion(prompt, 4000);
     cluster.wait("the first tokens", [&] {
