--- a/src/entry/completions.cpp
+++ b/src/entry/completions.cpp
@@ -63,7 +63,7 @@
     EntryContext &context;
     Streams &streams;
     const InputGuard &guard;
-    UsageRecorder &work;
+    UsageRecorder &usageRecorder;
     AdmissionQueue admission;
     std::map<WorkspaceName, std::size_t> openByWorkspace;
     std::size_t openTotal = 0;
@@ -147,13 +147,13 @@
     };
     handlers.onEnd = [this, answer](FinishReason reason, std::uint32_t promptTokens) {
         ++answered;
-        work.countAnswered(answer->owner, promptTokens, answer->tokens);
+        usageRecorder.countAnswered(answer->owner, promptTokens, answer->tokens);
         endAnswer(*answer, reason, promptTokens);
         release(*answer);
     };
     handlers.onFail = [this, answer](const StreamFailure &failure) {
         ++failed;
-        failure.outcome == Outcome::NotRun ? work.countRefused(answer->owner) : work.countUnknown(answer->owner, answer->tokens);
+        failure.outcome == Outcome::NotRun ? usageRecorder.countRefused(answer->owner) : usageRecorder.countUnknown(answer->owner, answer->tokens);
         failAnswer(*answer, toError(failure));
         release(*answer);
     };
@@ -166,10 +166,10 @@
     ++abandoned;
     const bool wasWaiting = answer.startedAt == TimePoint{} && admission.cancel(answer.owner.model, answer.id);
     if (wasWaiting) {
-        work.countRefused(answer.owner);
+        usageRecorder.countRefused(answer.owner);
     } else {
         streams.cancel(answer.id);
-        work.countUnknown(answer.owner, answer.tokens);
+        usageRecorder.countUnknown(answer.owner, answer.tokens);
     }
     release(answer);
 }
@@ -183,12 +183,12 @@
     });
     const auto begin = [this, answer, request = std::make_shared<StreamRequest>(std::move(request))] {
         answer->startedAt = context.clock.now();
-        work.expectUsage(answer->id, answer->owner);
+        usageRecorder.expectUsage(answer->id, answer->owner);
         streams.open(std::move(*request), makeHandlers(answer));
     };
     const auto refuseLate = [this, answer] {
         ++refused;
-        work.countRefused(answer->owner);
+        usageRecorder.countRefused(answer->owner);
         CompletionError error;
         error.status = 503;
         error.type = "server_error";
@@ -223,7 +223,7 @@
     stream.allowedInputs = service.allowInputs;
     if (guard.classify(stream.fingerprint, service.allowInputs) == InputStatus::Quarantined) {
         ++refused;
-        work.countRefused(owner);
+        usageRecorder.countRefused(owner);
         return replyCompletionError(exchange, quarantinedInputError(Outcome::NotRun), caller.publicId);
     }
     stream.deadline = service.deadline;
@@ -251,11 +251,11 @@
 
 // [SECTION] Completions
 
-Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &work)
+Completions::Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &usageRecorder)
     : d(new Private{context,
                     streams,
                     guard,
-                    work,
+                    usageRecorder,
                     AdmissionQueue(context),
                     {},
                     0,
@@ -291,7 +291,7 @@
     exchange->reply(200, {{"Content-Type", "application/json"}, {"X-Request-Id", caller.publicId}}, body.dump());
 }
 
-std::size_t Completions::open(const WorkspaceName &workspace) const
+std::size_t Completions::openCount(const WorkspaceName &workspace) const
 {
     const auto it = d->openByWorkspace.find(workspace);
     return it == d->openByWorkspace.end() ? 0 : it->second;
@@ -307,7 +307,7 @@
     return d->admission.describe();
 }
 
-std::size_t Completions::open() const
+std::size_t Completions::openCount() const
 {
     return d->openTotal;
 }
--- a/src/entry/completions.h
+++ b/src/entry/completions.h
@@ -25,7 +25,7 @@
 class Completions
 {
 public:
-    Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &work);
+    Completions(EntryContext &context, Streams &streams, const InputGuard &guard, UsageRecorder &usageRecorder);
     ~Completions();
 
     /// POST /v1/chat/completions
@@ -36,9 +36,9 @@
     void models(const ExchangePtr &exchange, const Caller &caller, const Configuration &configuration) const;
 
     /// Number of open requests of a workspace.
-    std::size_t open(const WorkspaceName &workspace) const;
+    std::size_t openCount(const WorkspaceName &workspace) const;
     /// Number of all open requests.
-    std::size_t open() const;
+    std::size_t openCount() const;
     /// Starts waiting requests, and refuses those that can no longer start in time. Called every few tens of milliseconds.
     void tick();
     /// JSON object with running, waiting and limit of each model.
--- a/src/entry/configuration_manager.cpp
+++ b/src/entry/configuration_manager.cpp
@@ -229,8 +229,8 @@
 void ConfigurationManager::Private::prepare(const PendingApplyPtr &pending)
 {
     pending->result.differences = compareConfigurations(configuration, pending->wanted);
-    const bool isOther = pending->ifMatch && *pending->ifMatch != configuration.version;
-    if (isOther) {
+    const bool isVersionMismatch = pending->ifMatch && *pending->ifMatch != configuration.version;
+    if (isVersionMismatch) {
         return finish(pending, ApplyOutcome::Conflict, configuration.version);
     }
     if (pending->result.differences.empty()) {
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -72,7 +72,7 @@
     void announce();
     std::vector<Address> sidecarAddresses() const;
     bool isReady() const;
-    std::size_t open() const;
+    std::size_t openRequestCount() const;
     void checkDrained();
 
     json status() const;
@@ -376,21 +376,21 @@
     return !context->isDraining && configurationManager->isTrusted();
 }
 
-std::size_t Entry::Private::open() const
+std::size_t Entry::Private::openRequestCount() const
 {
-    return completions->open() + calls->open();
+    return completions->openCount() + calls->openCount();
 }
 
 void Entry::Private::checkDrained()
 {
     const TimePoint now = clock.now();
     const bool isLate = now - drainStartedAt >= settings.drainTimeout;
-    if (open() > 0 && !isLate) {
+    if (openRequestCount() > 0 && !isLate) {
         idleSince = {};
         return;
     }
-    if (open() > 0) {
-        logEvent(Event::DrainTimeout, {{"open", std::to_string(open())}});
+    if (openRequestCount() > 0) {
+        logEvent(Event::DrainTimeout, {{"open", std::to_string(openRequestCount())}});
     }
     const bool hasUnwritten = keys->unwritten() > 0 || usageRecorder->isDirty();
     if (hasUnwritten && idleSince == TimePoint{}) {
@@ -406,7 +406,7 @@
         logEvent(Event::EndsUnwritten, {{"keys", std::to_string(keys->unwritten())}, {"work", usageRecorder->isDirty() ? "yes" : "no"}});
     }
     drainTimer.stop();
-    history.record("drained", {{"open", std::uint64_t{open()}}});
+    history.record("drained", {{"open", std::uint64_t{openRequestCount()}}});
     drained();
 }
 
@@ -421,7 +421,7 @@
     result["admission"] = json::parse(completions->describeAdmission());
     result["suspectInputs"] = guard->describe();
     result["streams"] = streams->size();
-    result["calls"] = calls->open();
+    result["calls"] = calls->openCount();
     result["store"] = {{"isDown", store->isDown()}, {"reads", store->reads()}, {"writes", store->writes()}, {"unwrittenCallEnds", keys->unwritten()}};
     return result;
 }
@@ -446,7 +446,7 @@
 void Entry::Private::refreshMetrics()
 {
     metrics.gauge("parsley_streams_open", "Streams open.") = static_cast<double>(streams->size());
-    metrics.gauge("parsley_calls_open", "Calls to plain services open.") = static_cast<double>(calls->open());
+    metrics.gauge("parsley_calls_open", "Calls to plain services open.") = static_cast<double>(calls->openCount());
     metrics.gauge("parsley_targets", "Targets known.") = static_cast<double>(targets->views().size());
     metrics.gauge("parsley_configuration_version", "Configuration version in force.") = static_cast<double>(configurationManager->inForce().version.value);
     metrics.gauge("parsley_store_reads", "Reads sent to the platform's store.") = static_cast<double>(store->reads());
@@ -491,7 +491,7 @@
     if (d->context->isDraining) {
         return;
     }
-    logEvent(Event::DrainStarted, {{"open", std::to_string(d->open())}});
+    logEvent(Event::DrainStarted, {{"open", std::to_string(d->openRequestCount())}});
     d->context->isDraining = true;
     d->drainStartedAt = d->clock.now();
     d->drained = std::move(finished);
@@ -529,9 +529,9 @@
     return d->configurationManager->inForce().version.value;
 }
 
-std::size_t Entry::open() const
+std::size_t Entry::openRequestCount() const
 {
-    return d->open();
+    return d->openRequestCount();
 }
 
 std::string Entry::status() const
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -38,7 +38,7 @@
     /// Version of the configuration in force.
     std::uint64_t configurationVersion() const;
     /// Number of open requests.
-    std::size_t open() const;
+    std::size_t openRequestCount() const;
     /// Status as JSON, for operators.
     std::string status() const;
     /// State dump as JSON: the status with open streams, open calls and internal counters.
--- a/src/entry/service_calls.cpp
+++ b/src/entry/service_calls.cpp
@@ -437,7 +437,7 @@
     if (section == configuration.services.end() || !isAllowed || section->second.kind != "plain") {
         return refuse({404, "", "the service '" + service + "' does not exist or is not open to this workspace", Outcome::NotRun});
     }
-    if (open(caller.workspace) >= static_cast<std::size_t>(caller.section->maxStreams)) {
+    if (openCount(caller.workspace) >= static_cast<std::size_t>(caller.section->maxStreams)) {
         return refuse({429, "", "the workspace has max-streams calls open at this entry", Outcome::NotRun, 1});
     }
     OpenCall call;
@@ -514,12 +514,12 @@
     }
 }
 
-std::size_t ServiceCalls::open() const
+std::size_t ServiceCalls::openCount() const
 {
     return d->calls.size();
 }
 
-std::size_t ServiceCalls::open(const WorkspaceName &workspace) const
+std::size_t ServiceCalls::openCount(const WorkspaceName &workspace) const
 {
     const auto it = d->openByWorkspace.find(workspace);
     return it == d->openByWorkspace.end() ? 0 : it->second;
--- a/src/entry/service_calls.h
+++ b/src/entry/service_calls.h
@@ -28,8 +28,8 @@
     /// Ends calls whose deadline has passed. Called every 50 ms.
     void tick();
 
-    std::size_t open() const;
-    std::size_t open(const WorkspaceName &workspace) const;
+    std::size_t openCount() const;
+    std::size_t openCount(const WorkspaceName &workspace) const;
     /// The open calls as a JSON list, for the state dump.
     std::string dump() const;
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -152,7 +152,7 @@
         answer->call->cancel();
     }
     cluster.wait("nothing to be open", [&] {
-        return cluster.entries[0]->open() == 0 && waiting() == 0;
+        return cluster.entries[0]->openRequestCount() == 0 && waiting() == 0;
     });
 }
 
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -237,7 +237,7 @@
         const bool engines = std::all_of(cluster.engines.begin(), cluster.engines.end(), [](const auto &engine) {
             return engine->openStreams() == 0;
         });
-        return engines && cluster.entries[0]->open() == 0;
+        return engines && cluster.entries[0]->openRequestCount() == 0;
     });
     BOOST_TEST(answer->events < 100u);
 }
@@ -257,7 +257,7 @@
         const bool engines = std::all_of(cluster.engines.begin(), cluster.engines.end(), [](const auto &engine) {
             return engine->openStreams() == 0;
         });
-        return engines && cluster.entries[0]->open() == 0;
+        return engines && cluster.entries[0]->openRequestCount() == 0;
     });
 }
 
@@ -290,11 +290,11 @@
     HttpStreamHandlers handlers;
     const HttpCallPtr call = cluster.client.stream(cluster.entries[0]->callerAddress(), post("/v1/chat/completions", body.dump()), std::move(handlers));
     cluster.wait("the stream to run", [&] {
-        return cluster.entries[0]->open() == 1 && cluster.engines[0]->positionsApplied() + cluster.engines[1]->positionsApplied() > 10;
+        return cluster.entries[0]->openRequestCount() == 1 && cluster.engines[0]->positionsApplied() + cluster.engines[1]->positionsApplied() > 10;
     });
     call->cancel();
     cluster.wait("the entry to detect the disconnect", [&] {
-        return cluster.entries[0]->open() == 0;
+        return cluster.entries[0]->openRequestCount() == 0;
     });
 }
 
--- a/tests/services_test.cpp
+++ b/tests/services_test.cpp
@@ -257,7 +257,7 @@
     cluster.applications[0]->setSlow(milliseconds(400));
     const auto first = cluster.sendAsync(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
-        return cluster.entries[0]->open() == 1;
+        return cluster.entries[0]->openRequestCount() == 1;
     });
     BOOST_TEST(cluster.send(keyedBooking("k1"), 0).status == 409);
     BOOST_TEST(cluster.send(keyedBooking("k1"), 1).status == 409);
@@ -298,7 +298,7 @@
     cluster.applications[0]->setSlow(milliseconds(200));
     const auto first = cluster.sendAsync(keyedBooking("k1"), 0);
     cluster.wait("the call to run", [&] {
-        return cluster.entries[0]->open() == 1;
+        return cluster.entries[0]->openRequestCount() == 1;
     });
     cluster.platform.faults().loseAnswers = 2;
     cluster.wait("the response", [&] {
