--- a/src/entry/admission_queue.h
+++ b/src/entry/admission_queue.h
@@ -37,8 +37,7 @@
     void recordFirstToken(const ModelName &model, double seconds, double targetSeconds);
     /// Records the time between two tokens. A target of 0 leaves the limit as it is.
     void recordTokenGap(const ModelName &model, double seconds, double targetSeconds);
-    /// Starts waiting requests that the limit allows, and refuses those that can no longer start in time. Called every few tens of
-    /// milliseconds.
+    /// Starts waiting requests that the limit allows, and refuses those that can no longer start in time. Called every 50 ms.
     void tick();
 
     /// JSON object with running, waiting and limit of each model, for the status.
--- a/src/entry/completions.h
+++ b/src/entry/completions.h
@@ -39,7 +39,7 @@
     std::size_t openCount(const WorkspaceName &workspace) const;
     /// Number of all open requests.
     std::size_t openCount() const;
-    /// Starts waiting requests, and refuses those that can no longer start in time. Called every few tens of milliseconds.
+    /// Starts waiting requests, and refuses those that can no longer start in time. Called every 50 ms.
     void tick();
     /// JSON object with running, waiting and limit of each model.
     std::string describeAdmission() const;
--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -13,9 +13,11 @@
 
 // [SECTION] State
 
-constexpr milliseconds maxProgressTimeout{5000}; ///< longest progress timeout, also without samples; longest wait for reports of reachable stages
-constexpr milliseconds exclusionLifetime{500};   ///< after waiting this long, a stream may use targets again that failed it
-constexpr double retryRefillPerSecond = 0.1;     ///< new attempts earned each second, as a share of the open streams, beyond those earned by requests
+/// Longest progress timeout, unless the setting is longer, and the one used before a model has samples; also the longest wait for
+/// reports of reachable stages.
+constexpr milliseconds maxProgressTimeout{5000};
+constexpr milliseconds exclusionLifetime{500}; ///< after waiting this long, a stream may use targets again that failed it
+constexpr double retryRefillPerSecond = 0.1;   ///< new attempts earned each second, as a share of the open streams, beyond those earned by requests
 
 namespace
 {
@@ -458,7 +460,7 @@
 
 /// Whether a stage that has not reported is considered lost. While messages from its target still arrive, it is given up to
 /// maxProgressTimeout, as it is only slow to report, or this process slow to read: if that led to a replacement, a busy system
-/// would replace all its stages, one after the other.
+/// would replace all its stages, one after another.
 bool Streams::Private::isReportOverdue(const OpenStream &stream, TimePoint now) const
 {
     const auto waited = now - stream.queriedAt;
--- a/src/entry/streams.h
+++ b/src/entry/streams.h
@@ -63,7 +63,7 @@
     void handleTargetLost(const TargetId &target);
     /// Retries the waiting streams, as a target may have become usable.
     void handleTargetsChanged();
-    /// Detects stalled streams and passed deadlines, and retries waiting streams. Called every few tens of milliseconds.
+    /// Detects stalled streams and passed deadlines, and retries waiting streams. Called every 50 ms.
     void tick();
 
     std::size_t size() const;
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -310,7 +310,8 @@
 bool EngineClient::isMakingProgress() const
 {
     // Steps take longer when more streams share them, e.g. after a burst. With a limit derived from earlier, smaller steps
-    // alone, the engine would be classified as stuck exactly when it has the most work. So the limit scales with the streams in flight.
+    // alone, the engine would be classified as stuck exactly when it has the most work. So the limit grows with the number of streams
+    // in flight.
     const milliseconds byStepTime = adaptiveTimeout(d->stepTime, minStepStallTimeout, maxStepStallTimeout);
     const auto items = static_cast<double>(d->itemsInFlight);
     const TimeEstimate itemsEstimate{d->itemTime.meanSeconds * items, d->itemTime.deviationSeconds * items};
--- a/src/sidecar/stages.h
+++ b/src/sidecar/stages.h
@@ -21,7 +21,7 @@
     void onPeerDisconnected(const LinkPtr &link);
     /// Called when a link to another sidecar closed. Reports the loss of the next stage for all streams that send over it.
     void onNextStageDisconnected(const std::string &address, const Error &error);
-    /// Frees streams that have had no entry for orphan-timeout, and expired early frames. Called periodically.
+    /// Frees streams that have had no entry for orphan-timeout, and early frames older than 5 s. Called every 500 ms.
     void sweep();
 
     /// Number of open streams.
