--- a/src/entry/streams.cpp
+++ b/src/entry/streams.cpp
@@ -13,9 +13,11 @@
 
 // [SECTION] State
 
-constexpr milliseconds maxProgressTimeout{5000}; ///< longest progress timeout, also without samples; longest wait for reports of reachable stages
-constexpr milliseconds exclusionLifetime{500};   ///< after waiting this long, a stream may use targets again that failed it
-constexpr double retryRefillPerSecond = 0.1;     ///< new attempts earned each second, as a share of the open streams, beyond those earned by requests
+/// Longest progress timeout, unless the setting is longer, and the one used before a model has samples; also the longest wait for
+/// reports of reachable stages.
+constexpr milliseconds maxProgressTimeout{5000};
+constexpr milliseconds exclusionLifetime{500}; ///< after waiting this long, a stream may use targets again that failed it
+constexpr double retryRefillPerSecond = 0.1;   ///< new attempts earned each second, as a share of the open streams, beyond those earned by requests
 
 namespace
 {
@@ -394,7 +396,7 @@
 {
     StreamFailure failure;
     failure.isQuarantined = true;
-    fail(stream, {error.step, error.peer, "the input was in flight at two separate engine crashes"}, failure);
+    fail(stream, {error.step, error.peer, "the input was in flight at two separate deaths of engines"}, failure);
 }
 
 void Streams::Private::handleStageFailure(const StageFailed &frame)
@@ -458,7 +460,7 @@
 
 /// Whether a stage that has not reported is considered lost. While messages from its target still arrive, it is given up to
 /// maxProgressTimeout, as it is only slow to report, or this process slow to read: if that led to a replacement, a busy system
-/// would replace all its stages, one after the other.
+/// would replace all its stages, one after another.
 bool Streams::Private::isReportOverdue(const OpenStream &stream, TimePoint now) const
 {
     const auto waited = now - stream.queriedAt;
@@ -580,7 +582,7 @@
         [&target](const StageAddress &stage) {
             return stage.target == target;
         },
-        {"hear from target", target.value, "timed out, restarted or lost its engine"}, false);
+        {"hear from target", target.value, "silent or restarted"}, false);
 }
 
 void Streams::handleTargetsChanged()
